--- a/deckcourse/decisions/__init__.py
+++ b/deckcourse/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions as functions of values: no clock, no sockets, no tasks of their own."""
+"""Pure decision functions and state: the caller passes the time; no I/O and no tasks."""
--- a/deckcourse/decisions/layout_rate.py
+++ b/deckcourse/decisions/layout_rate.py
@@ -1,9 +1,9 @@
-"""What a layout of a model is worth: the streams that it serves a second, whole and after losses.
+"""The value of a layout of a model: the streams a second that it serves, also after host losses.
 
-Load pattern: at high load every copy is as full as its places and its memory let it be, and a few
-hosts are lost before their layers are loaded elsewhere. A stream holds its place for as long as it
-is written, so a copy of fast hosts serves more streams with the same memory; one slow host in a
-copy makes every stream there longer. A copy over many hosts is lost more often.
+Load pattern: at high load every copy is as full as its request slots and memory allow, and a few
+hosts are lost before their layers are loaded elsewhere. A stream occupies its slot until it ends,
+so a copy on fast hosts serves more streams with the same memory; one slow host in a copy slows all
+its streams. A copy on many hosts is lost more often.
 """
 
 from collections import Counter
@@ -15,20 +15,20 @@
 __all__ = [
     "HeldLayers",
     "copy_rate",
-    "expected_part",
-    "memory_places",
-    "places_of",
+    "survival_probability",
+    "memory_capacity",
+    "request_capacity",
     "stream_ms",
 ]
 
-# Layouts are compared whole and after the loss of one and of two hosts of the group: the streams
-# that break are few, but until their layers are loaded elsewhere the rest has to carry the load.
-LOSSES = (0, 1, 2)
+# Layouts are compared with no, one and two hosts of the group lost: few streams break, but the
+# remaining copies carry the load until the lost layers are loaded elsewhere.
+LOST_HOST_COUNTS = (0, 1, 2)
 
 
 @dataclass(frozen=True)
 class HeldLayers:
-    """What a host of a copy holds: the layers `first` up to `end` on a kind of accelerator."""
+    """The layers that a host of a copy holds, `first` to `end` (exclusive), on its accelerator."""
 
     kind: str
     first: int
@@ -36,69 +36,69 @@
 
     @property
     def layers(self) -> int:
-        """How many layers it holds."""
+        """The number of layers."""
         return self.end - self.first
 
 
-def memory_places(model: ModelSpec, copy: Sequence[HeldLayers]) -> float:
-    """Return how many usual requests have memory beside the weights of a copy's fullest host."""
-    alike = {(each.kind, each.layers) for each in copy}
-    return min((model.places(kind, layers, layers) for kind, layers in alike), default=0.0)
+def memory_capacity(model: ModelSpec, copy: Sequence[HeldLayers]) -> float:
+    """Return how many usual requests fit into the KV cache of a copy's fullest host."""
+    distinct = {(each.kind, each.layers) for each in copy}
+    return min((model.places(kind, layers, layers) for kind, layers in distinct), default=0.0)
 
 
-def places_of(model: ModelSpec, copy: Sequence[HeldLayers]) -> float:
-    """Return how many usual requests a copy takes at once, 0 where it has no hosts.
+def request_capacity(model: ModelSpec, copy: Sequence[HeldLayers]) -> float:
+    """Return how many usual requests a copy runs concurrently, 0 if it has no hosts.
 
-    It is bounded by the places of the hosts at which paths begin, and by memory.
+    The request slots of its first stages and memory limit it.
     """
-    firsts = sum(each.first == 0 for each in copy)
-    return min(firsts * model.requests, memory_places(model, copy))
+    first_stages = sum(each.first == 0 for each in copy)
+    return min(first_stages * model.requests, memory_capacity(model, copy))
 
 
-def stream_ms(model: ModelSpec, path: Iterable[HeldLayers], streams: float) -> float:
-    """Return how long a usual stream takes on a path, from its arrival to its last token.
+def stream_ms(model: ModelSpec, path: Iterable[HeldLayers], stream_count: float) -> float:
+    """Return the duration of a usual stream on a path, from its arrival to its last token, ms.
 
     Args:
       model: the model.
-      path: who runs which layers, each layer once.
-      streams: how many are written at once on it.
+      path: the layer ranges of its stages, each layer once.
+      stream_count: the number of concurrent streams on it.
     """
     layers: Counter[str] = Counter()
-    parts = 0
+    stages = 0
     for each in path:
         layers[each.kind] += each.layers
-        parts += 1
-    token = HOP_MS * (parts - 1)
-    reading = 0.0
+        stages += 1
+    token_ms = HOP_MS * (stages - 1)
+    prompt_ms = 0.0
     for kind, count in layers.items():
-        token += count / model.layers * model.token_ms(kind, streams)
-        reading += count / model.layers * model.reading_ms(kind)
-    # A new request waits for half of a pass, in which each stream gets an event, in the mean.
-    return reading + token * (model.event_tokens / 2 + model.usual_answer)
+        token_ms += count / model.layers * model.token_ms(kind, stream_count)
+        prompt_ms += count / model.layers * model.reading_ms(kind)
+    # A new request waits on average for half of a pass, in which each stream gets an event.
+    return prompt_ms + token_ms * (model.event_tokens / 2 + model.usual_answer)
 
 
 def copy_rate(model: ModelSpec, copy: Sequence[HeldLayers]) -> float:
-    """Return how many usual streams a copy serves in a second with all its places taken.
+    """Return how many usual streams a second a copy serves at full capacity.
 
     Args:
       model: the model.
-      copy: what each host of the copy holds; where several hold the first layers, paths begin at
-        one each, and all share the others.
+      copy: the layers of each host of the copy; of several that hold the first layers each is the
+        first stage of some paths, and all share the other hosts.
     """
-    places = places_of(model, copy)
-    if not places:
+    capacity = request_capacity(model, copy)
+    if not capacity:
         return 0.0
-    longest = max((each for each in copy if each.first == 0), key=lambda each: each.layers)
-    path = [longest, *(each for each in copy if each.first > 0)]
-    return places / stream_ms(model, path, places) * 1000
+    first_stage = max((each for each in copy if each.first == 0), key=lambda each: each.layers)
+    path = [first_stage, *(each for each in copy if each.first > 0)]
+    return capacity / stream_ms(model, path, capacity) * 1000
 
 
-def expected_part(hosts: int, everybody: int) -> float:
-    """Return how probably a copy is whole, in the mean over the losses that are weighed.
+def survival_probability(hosts: int, group_size: int) -> float:
+    """Return the probability that a copy loses no host, averaged over `LOST_HOST_COUNTS`.
 
     Args:
-      hosts: how many hosts hold the copy.
-      everybody: how many hosts of the group may be lost.
+      hosts: the number of hosts that hold the copy.
+      group_size: the number of hosts in the group, each of which may be lost.
     """
-    spared = 1.0 - hosts / max(hosts, everybody, 1)
-    return sum(spared**lost for lost in LOSSES) / len(LOSSES)
+    survival_share = 1.0 - hosts / max(hosts, group_size, 1)
+    return sum(survival_share**lost for lost in LOST_HOST_COUNTS) / len(LOST_HOST_COUNTS)
--- a/deckcourse/decisions/path_draw.py
+++ b/deckcourse/decisions/path_draw.py
@@ -1,9 +1,9 @@
-"""Which of several paths a request takes: the better of two that are drawn.
+"""The choice of a path for a request: the better of two randomly drawn ones.
 
-Load pattern: hundreds of processes choose by what they were told some 0.4 s ago. If each took the
-best path, all of them would take the same one until they hear better: at 130 requests a second some
-50 meet at an upstream with 96 places. The better of two drawn ones spreads them, and still leaves
-out what is full.
+Load pattern: hundreds of processes decide on load reports that are some 0.4 s old. If each took the
+best path, all would take the same one until the next report: at 130 requests a second some 50 would
+arrive at an upstream with capacity for 96. Choosing the better of two random paths spreads requests
+and still avoids full ones.
 """
 
 from collections.abc import Callable, Sequence
@@ -13,20 +13,21 @@
 
 __all__ = ["COST_POWER", "draw_path"]
 
-# A path that takes twice the time is drawn so many times as seldom, as a power of two.
+# A path of twice the cost is drawn less often by a factor of 2 to this power.
 COST_POWER = 2.0
 
 
 def draw_path(
     paths: Sequence[LayerPath], score: Callable[[LayerPath], float], random: Random
 ) -> LayerPath | None:
-    """Return the better of two paths, drawn by the inverse of their cost; None where there is none.
+    """Return the better of two randomly drawn paths, None if there are no paths.
 
     Args:
-      paths: what may be taken.
-      score: returns what a request's way would cost now; less is better.
-      random: draws.
+      paths: the candidates; cheaper ones are drawn more often.
+      score: returns the current cost of a path for a request; lower is better.
+      random: the random number generator.
     """
-    # The first of exponential draws, each with the weight as its rate, is drawn by the weights.
+    # Weighted sampling: the smallest of exponential variates, each with the path's weight as its
+    # rate, is drawn with a probability in proportion to the weight.
     drawn = sorted(paths, key=lambda each: random.expovariate(1.0) * each.cost**COST_POWER)
     return min(drawn[:2], key=score, default=None)
--- a/deckcourse/decisions/path_load.py
+++ b/deckcourse/decisions/path_load.py
@@ -1,9 +1,10 @@
-"""How full paths are, from what the first upstreams of paths say of themselves.
+"""Load of paths, computed from the stream counts that first stages report.
 
-Load pattern: several paths share upstreams behind their first ones, and an upstream that begins
-paths is passed by others. It tells how many streams run there, begun there or not, and takes only
-so many that begin there. Counted as they are told, streams on shared upstreams count twice: every
-path looks full, and one first upstream keeps its queue beside others of half its load.
+Load pattern: several paths share upstreams after their first stages, and the first stage of one
+path may be a later stage of others. An upstream reports all streams that it runs, whether they
+start there or not, but limits only those that start there. Using reported counts directly would
+count streams on shared upstreams twice: every path would look full, and one first stage would queue
+requests while others are at half its load.
 """
 
 from collections import defaultdict
@@ -13,54 +14,55 @@
 
 __all__ = ["begun_at", "passers", "passing"]
 
-# Rounds until the counts agree: an upstream is passed by those whose paths begin before it, and
-# sites have three first upstreams a copy.
-ROUNDS = 4
+# Iterations until the counts converge: a first stage is passed by paths that start before it, and
+# sites have three first stages a copy.
+ITERATIONS = 4
 
 
 def passers(paths: Sequence[LayerPath]) -> dict[str, list[str]]:
-    """Return for each first upstream that other paths pass the first upstreams of those."""
+    """Return for each first stage that other paths pass through, the first stages of those."""
     firsts = {path.parts[0].instance: path for path in paths}
-    found: dict[str, list[str]] = defaultdict(list)
+    passers_of: dict[str, list[str]] = defaultdict(list)
     for name, path in firsts.items():
-        for first in path.instances & firsts.keys() - {name}:
-            found[first].append(name)
-    # In the order of the paths: later ones are counted by what is known of earlier ones.
-    return {first: found[first] for first in firsts if first in found}
+        for passed in path.instances & firsts.keys() - {name}:
+            passers_of[passed].append(name)
+    # In path order: counts of later first stages are corrected with those of earlier ones.
+    return {passed: passers_of[passed] for passed in firsts if passed in passers_of}
 
 
 def begun_at(
     paths: Sequence[LayerPath],
-    running: Callable[[str], float],
+    reported_streams: Callable[[str], float],
     passed_by: Mapping[str, Sequence[str]] | None = None,
 ) -> dict[str, float]:
-    """Return how many streams begin at each first upstream.
+    """Return the number of streams that start at each first stage.
 
     Args:
-      paths: one from each first upstream; all processes find the same and most streams take them.
-      running: returns how many streams an upstream runs, begun there or passing.
-      passed_by: the `passers` of the paths, where they are known already.
+      paths: one from each first stage; all processes compute the same paths, and most streams use
+        them.
+      reported_streams: returns the number of streams that an upstream runs, wherever they start.
+      passed_by: the `passers` of the paths, if they were computed before.
     """
-    told = {path.parts[0].instance: running(path.parts[0].instance) for path in paths}
-    found = dict(told)
-    shared = passers(paths) if passed_by is None else passed_by
-    for _ in range(ROUNDS):
-        for first, names in shared.items():
-            passing_here = sum([found[name] for name in names])
-            found[first] = max(0.0, told[first] - passing_here)
-    return found
+    reported = {path.parts[0].instance: reported_streams(path.parts[0].instance) for path in paths}
+    started = dict(reported)
+    passers_by_stage = passers(paths) if passed_by is None else passed_by
+    for _ in range(ITERATIONS):
+        for stage, names in passers_by_stage.items():
+            passing_streams = sum([started[name] for name in names])
+            started[stage] = max(0.0, reported[stage] - passing_streams)
+    return started
 
 
-def passing(paths: Sequence[LayerPath], begun: Mapping[str, float]) -> Mapping[str, float]:
-    """Return how many streams pass each upstream of the paths, those that begin there among them.
+def passing(paths: Sequence[LayerPath], started: Mapping[str, float]) -> Mapping[str, float]:
+    """Return the number of streams at each upstream of the paths, wherever they start.
 
     Args:
-      paths: one from each first upstream.
-      begun: the streams that begin at each.
+      paths: one from each first stage.
+      started: the number of streams that start at each first stage.
     """
-    found: dict[str, float] = defaultdict(float)
+    streams_at: dict[str, float] = defaultdict(float)
     for path in paths:
-        streams = begun.get(path.parts[0].instance, 0.0)
+        count = started.get(path.parts[0].instance, 0.0)
         for part in path.parts:
-            found[part.instance] += streams
-    return found
+            streams_at[part.instance] += count
+    return streams_at
--- a/deckcourse/decisions/quarantine.py
+++ b/deckcourse/decisions/quarantine.py
@@ -1,48 +1,49 @@
-"""For how long a request is refused, by the upstreams that ended under it.
+"""How long a suspect request is quarantined, depending on the crashes it was running in.
 
-Load pattern: an end takes the streams of everybody else on an upstream with it, while one refused
-request is one caller's. Yet whoever waits for a first event when an upstream ends by itself has
-done nothing: one end condemns only while requests that end upstreams are about.
+Load pattern: a crash interrupts all other streams on the upstream, while quarantining a request
+affects one caller. But a request that was waiting for its first event when an upstream crashed for
+another reason is innocent, so one crash suffices only while crashing requests are around.
 """
 
 __all__ = ["CONVICTING_ENDS", "is_guarded", "quarantine_seconds"]
 
-# So many ends of upstreams under one request are no chance.
+# Number of crashes under one request that is not a coincidence.
 CONVICTING_ENDS = 2
-# With one end more a request is refused until all that is known of it is forgotten or an operator
-# releases it; the platform allows three more sendings after three ends, for what was under way.
-FINAL_ENDS = 3
-# A convicted request is tried once more after this, seconds: the upstreams may have been mended.
-CONVICTED_SECONDS = 10.0
-# While a request was convicted within this time, seconds, one end is enough to refuse another one,
-GUARDED_SECONDS = 60.0
-# for this long, seconds.
-SUSPECTED_SECONDS = 10.0
-# Of more than so many that were at one end most are innocent: none of them is refused for it.
-MOST_SUSPECTS = 2
-
-
-def is_guarded(convicted_at: float, now: float) -> bool:
-    """Return whether requests that end upstreams are about.
+# After this many crashes a request is refused until its record expires or an operator releases it.
+# The platform allows three more attempts after three crashes, for attempts already in flight.
+PERMANENT_QUARANTINE_CRASHES = 3
+# Quarantine of a confirmed request before it is tried again, in case the upstreams were fixed.
+CONFIRMED_QUARANTINE_SECONDS = 10.0
+# Within this time after a crash under a confirmed request, one crash is enough to quarantine
+# another request, seconds.
+ALERT_SECONDS = 60.0
+# Quarantine of a request after a single crash, seconds.
+SUSPECT_QUARANTINE_SECONDS = 10.0
+# Of more requests than this at one crash, most are innocent: none of them is quarantined for it.
+MAX_QUARANTINED_SUSPECTS = 2
+
+
+def is_guarded(confirmed_at: float, now: float) -> bool:
+    """Return whether a confirmed request crashed an upstream recently.
 
     Args:
-      convicted_at: when an upstream last ended under a convicted request, seconds.
-      now: the moment, on the same clock.
+      confirmed_at: the time of the last crash under a confirmed request, seconds.
+      now: the current time on the same clock, seconds.
     """
-    return now < convicted_at + GUARDED_SECONDS
+    return now < confirmed_at + ALERT_SECONDS
 
 
-def quarantine_seconds(ends: int, suspects: int, guarded: bool) -> float:
-    """Return for how long after the last end a request is refused; infinity for good.
+def quarantine_seconds(crashes: int, suspects: int, is_alert: bool) -> float:
+    """Return how long a request is quarantined after its last crash; infinity for permanently.
 
     Args:
-      ends: how many upstreams ended under it, one after the other.
-      suspects: how many requests were at the end at which the fewest were, itself among them.
-      guarded: whether requests that end upstreams are about.
+      crashes: the number of successive upstream crashes under the request.
+      suspects: the number of requests, this one included, at the crash that had the fewest.
+      is_alert: whether a confirmed request crashed an upstream recently.
     """
-    if ends >= FINAL_ENDS:
+    if crashes >= PERMANENT_QUARANTINE_CRASHES:
         return float("inf")
-    if ends >= CONVICTING_ENDS:
-        return CONVICTED_SECONDS
-    refused = ends and guarded and suspects <= MOST_SUSPECTS
-    return SUSPECTED_SECONDS if refused else 0.0
+    if crashes >= CONVICTING_ENDS:
+        return CONFIRMED_QUARANTINE_SECONDS
+    is_quarantined = crashes and is_alert and suspects <= MAX_QUARANTINED_SUSPECTS
+    return SUSPECT_QUARANTINE_SECONDS if is_quarantined else 0.0
--- a/deckcourse/decisions/token_bucket.py
+++ b/deckcourse/decisions/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket with priorities: orders go before requests, questions have a share of the rate.
+"""A token bucket with priorities: orders precede requests, queries get a share of the rate.
 
 Over any span of T seconds it issues at most `rate * T + MAX_TOKENS + MAX_DEBT` tokens.
 """
@@ -9,13 +9,13 @@
 
 # Bucket size.
 MAX_TOKENS = 2.0
-# Tokens that questions and orders may borrow, since waiting requests drain the bucket.
+# Tokens that queries and orders may borrow, since waiting requests drain the bucket.
 MAX_DEBT = 1.0
-# Share of the rate for questions, and their minimum rate, tokens a second.
-QUESTION_SHARE = 0.1
-MIN_QUESTION_RATE = 0.2
-# Bucket size for questions.
-MAX_QUESTION_TOKENS = 2.0
+# Share of the rate for queries, and their minimum rate, tokens a second.
+QUERY_SHARE = 0.1
+MIN_QUERY_RATE = 0.2
+# Bucket size for queries.
+MAX_QUERY_TOKENS = 2.0
 
 
 class TokenBucket:
@@ -29,7 +29,7 @@
     def __init__(self, rate: float, now: float) -> None:
         self._rate = rate
         self._tokens = 0.0
-        self._question_tokens = 1.0
+        self._query_tokens = 1.0
         self._updated_at = now
 
     def set_rate(self, rate: float, now: float) -> None:
@@ -43,7 +43,7 @@
             return False
         self._tokens -= 1.0
         if purpose is Purpose.QUESTION:
-            self._question_tokens -= 1.0
+            self._query_tokens -= 1.0
         return True
 
     def give_back(self) -> None:
@@ -57,15 +57,15 @@
         seconds = max(0.0, needed - self._tokens) / self._rate
         if purpose is not Purpose.QUESTION:
             return seconds
-        return max(seconds, max(0.0, 1.0 - self._question_tokens) / self._question_rate)
+        return max(seconds, max(0.0, 1.0 - self._query_tokens) / self._query_rate)
 
     @property
-    def _question_rate(self) -> float:
-        return max(MIN_QUESTION_RATE, QUESTION_SHARE * self._rate)
+    def _query_rate(self) -> float:
+        return max(MIN_QUERY_RATE, QUERY_SHARE * self._rate)
 
     def _refill(self, now: float) -> None:
         seconds = max(0.0, now - self._updated_at)
         self._updated_at = now
         self._tokens = min(MAX_TOKENS, self._tokens + seconds * self._rate)
-        more = seconds * self._question_rate
-        self._question_tokens = min(MAX_QUESTION_TOKENS, self._question_tokens + more)
+        refilled = seconds * self._query_rate
+        self._query_tokens = min(MAX_QUERY_TOKENS, self._query_tokens + refilled)
--- a/deckcourse/decisions/usual_paths.py
+++ b/deckcourse/decisions/usual_paths.py
@@ -1,9 +1,10 @@
-"""Which few of a domain's paths a process keeps to while they have room.
+"""The choice of a few paths of a failure domain that a process uses while they have capacity.
 
-Load pattern: a process that sees two requests a second would use a dozen first upstreams so seldom
-that its connections don't outlast the pauses, and each request needs a new one. Each process keeps
-to a few of its own, so that all paths are used. Where copies differ in speed, a slow one holds a
-stream several times as long as a fast one: with equal parts the fast ones stood half empty.
+Load pattern: a process with two requests a second would use each of a dozen first stages so rarely
+that its connections time out in between, and each request would need a new one. Each process
+prefers a few paths of its own, so that all paths are used. Where copies differ in speed, a slow one
+holds a stream several times as long as a fast one: with equal shares the fast copies were half
+idle.
 """
 
 from collections.abc import Sequence
@@ -16,12 +17,12 @@
 
 
 def usual_paths(paths: Sequence[LayerPath], process: str, count: int) -> list[LayerPath]:
-    """Return the paths that a process keeps to, its own first choice first.
+    """Return the paths that a process prefers, its first choice first.
 
     Args:
-      paths: one from each first upstream.
-      process: its name; each has its own order.
-      count: how many it keeps to.
+      paths: one from each first stage.
+      process: the name of the process; each process has its own order.
+      count: the number of paths to return.
     """
     by_first = {each.parts[0].instance: each for each in paths}
     cheapest = min((each.cost for each in paths), default=1.0)
--- a/deckcourse/layers/layouts.py
+++ b/deckcourse/layers/layouts.py
@@ -9,7 +9,12 @@
 from heapq import heapreplace
 from itertools import accumulate
 
-from deckcourse.decisions.layout_rate import HeldLayers, copy_rate, expected_part, memory_places
+from deckcourse.decisions.layout_rate import (
+    HeldLayers,
+    copy_rate,
+    memory_capacity,
+    survival_probability,
+)
 from deckcourse.layers.hosts import EVEN_FILL, LARGEST_FILL, Assignment, Group, LayerHost
 from deckcourse.layers.model import ModelSpec
 from deckcourse.layers.slices import slice_sizes
@@ -68,7 +73,7 @@
 
 
 def _worth(model: ModelSpec, copy: Sequence[HeldLayers], everybody: int) -> float:
-    return copy_rate(model, copy) * expected_part(len(copy), everybody)
+    return copy_rate(model, copy) * survival_probability(len(copy), everybody)
 
 
 class _Copies:
@@ -114,7 +119,7 @@
         model = self._model
         best: tuple[float, tuple[HeldLayers, ...]] = (0.0, ())
         for starters in range(MOST_STARTERS + 1):
-            if best[1] and starters * model.requests >= memory_places(model, best[1]):
+            if best[1] and starters * model.requests >= memory_capacity(model, best[1]):
                 break
             beginning = tuple(_starter(model, each) for each in kinds[:starters])
             for power in SPEED_POWERS:
