--- a/deckcourse/decisions/layout_rate.py
+++ b/deckcourse/decisions/layout_rate.py
@@ -72,7 +72,7 @@
     prompt_ms = 0.0
     for kind, count in layers.items():
         token_ms += count / model.layers * model.token_ms(kind, stream_count)
-        prompt_ms += count / model.layers * model.reading_ms(kind)
+        prompt_ms += count / model.layers * model.prompt_ms(kind)
     # A new request waits on average for half of a pass, in which each stream gets an event.
     return prompt_ms + token_ms * (model.event_tokens / 2 + model.usual_answer)
 
--- a/deckcourse/layers/__init__.py
+++ b/deckcourse/layers/__init__.py
@@ -1,1 +1,1 @@
-"""Which upstream holds which layers of a model, and the paths that requests take over them."""
+"""Placement of a model's layers on upstreams, and the request paths over them."""
--- a/deckcourse/layers/coverage.py
+++ b/deckcourse/layers/coverage.py
@@ -1,4 +1,4 @@
-"""How often each layer of a model is held."""
+"""The number of hosts that hold each layer of a model."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -6,45 +6,45 @@
 from deckcourse.layers.hosts import LayerHost
 from deckcourse.layers.model import ModelSpec
 
-__all__ = ["gaps", "holders", "range_gaps"]
+__all__ = ["gaps", "holder_counts", "range_gaps"]
 
 
-def holders(model: ModelSpec, hosts: Iterable[LayerHost]) -> list[int]:
-    """Return for each layer how many hosts hold it."""
-    return _held(model, _ranges(hosts))
+def holder_counts(model: ModelSpec, hosts: Iterable[LayerHost]) -> list[int]:
+    """Return the number of holders of each layer."""
+    return _holder_counts(model, _ranges(hosts))
 
 
 def gaps(model: ModelSpec, hosts: Iterable[LayerHost], depth: int) -> list[tuple[int, int]]:
-    """Return the ranges that fewer than `depth` hosts hold, in order."""
+    """Return the ranges of layers that fewer than `depth` hosts hold, in order."""
     return range_gaps(model, _ranges(hosts), depth)
 
 
 def _ranges(hosts: Iterable[LayerHost]) -> list[tuple[int, int]]:
-    """Return the range that each host holds."""
+    """Return the layer range of each host."""
     return [(each.first, each.end) for each in hosts]
 
 
-def _held(model: ModelSpec, ranges: Iterable[tuple[int, int]]) -> list[int]:
-    # Many hosts hold the same few ranges.
-    count = [0] * model.layers
-    for (first, end), times in Counter(ranges).items():
+def _holder_counts(model: ModelSpec, ranges: Iterable[tuple[int, int]]) -> list[int]:
+    # Counts equal ranges once, since many hosts hold the same few ranges.
+    counts = [0] * model.layers
+    for (first, end), holders in Counter(ranges).items():
         for layer in range(first, min(end, model.layers)):
-            count[layer] += times
-    return count
+            counts[layer] += holders
+    return counts
 
 
 def range_gaps(
     model: ModelSpec, ranges: Iterable[tuple[int, int]], depth: int
 ) -> list[tuple[int, int]]:
-    """Return the ranges of layers that fewer than `depth` of the given ones hold, in order."""
-    count = _held(model, ranges)
-    found = []
+    """Return the ranges of layers that fewer than `depth` of the given ranges cover, in order."""
+    counts = _holder_counts(model, ranges)
+    found_gaps = []
     start = None
     for layer in range(model.layers + 1):
-        short = layer < model.layers and count[layer] < depth
-        if short and start is None:
+        is_gap = layer < model.layers and counts[layer] < depth
+        if is_gap and start is None:
             start = layer
-        if not short and start is not None:
-            found.append((start, layer))
+        if not is_gap and start is not None:
+            found_gaps.append((start, layer))
             start = None
-    return found
+    return found_gaps
--- a/deckcourse/layers/cuts.py
+++ b/deckcourse/layers/cuts.py
@@ -1,33 +1,34 @@
-"""The search for the cheapest way to make a model whole: new cuts over the hosts in their order."""
+"""The search for the cheapest assignments that make a model whole by cutting it anew."""
 
 from collections.abc import Iterator, Mapping, Sequence
 from typing import NamedTuple
 
 from deckcourse.layers.coverage import gaps
-from deckcourse.layers.hosts import LARGEST_FILL, Assignment, LayerHost
+from deckcourse.layers.hosts import MAX_FILL, Assignment, LayerHost
 from deckcourse.layers.model import ModelSpec
 
 __all__ = ["restore"]
 
 
-class _Cut(NamedTuple):
-    """The best way to reach a layer; ways are compared by the first three.
+class _PartialCut(NamedTuple):
+    """The best way to cover the model up to a layer; cuts are compared by the first three fields.
 
-    `left_out` layers before it are held by nobody, `largest` is the largest load so far and
-    `total` all loads; this host runs from `first`, behind hosts that reach up to `before`, and
-    loads `load` layers for it. A tuple, since there are tens of thousands of them in one search.
+    `uncovered` is the number of layers before it that no host holds, `max_load` the largest load of
+    a host so far and `total_load` the sum of loads. The last host runs the layers from `first` and
+    loads `load` of them; the hosts before it cover the model up to `predecessor_end`. A tuple,
+    since one search creates tens of thousands of them.
     """
 
-    left_out: int
-    largest: int
-    total: int
+    uncovered: int
+    max_load: int
+    total_load: int
     first: int
     load: int
-    before: int = 0
+    predecessor_end: int = 0
 
     def cost_up_to(self, layers: int, reached: int) -> tuple[int, int, int]:
-        """Return the cost with all layers behind the one reached left out."""
-        return self.left_out + layers - reached, self.largest, self.total
+        """Return the cost if all layers after the one reached stay uncovered."""
+        return self.uncovered + layers - reached, self.max_load, self.total_load
 
 
 def restore(
@@ -35,105 +36,107 @@
     hosts: Sequence[LayerHost],
     pending: Mapping[str, tuple[int, int]],
     give_up: bool,
-    fill: float = LARGEST_FILL,
+    fill: float = MAX_FILL,
 ) -> tuple[tuple[Assignment, ...], bool]:
     """Cut the model anew over the hosts in their present order, with the smallest loads.
 
     The search goes from host to host and keeps, for each layer reached, the cuts that leave the
-    fewest layers out, then those whose largest load is smallest: loads run at the same time, so
-    that one decides when the model is whole.
+    fewest layers uncovered, then those whose largest load is smallest: loads run concurrently, so
+    that one determines when the model is whole.
 
     Args:
       model: the model to make whole.
-      hosts: everybody in the group.
-      pending: who takes no order now.
-      give_up: whether a host may give up layers for others.
-      fill: the part of a host's memory that it may be filled to; a fuller one stays so.
+      hosts: all hosts of the group.
+      pending: the hosts that accept no order now.
+      give_up: whether a host may drop layers for others.
+      fill: the maximum fill of a host, unless it is already fuller.
 
     Returns:
-      The assignments, and whether the model is whole with them.
+      The assignments, and whether they make the model whole.
     """
-    ordered = _in_order(model, hosts)
-    best: dict[int, _Cut] = {0: _Cut(0, 0, 0, 0, 0)}
-    trail: list[dict[int, _Cut]] = []
+    ordered = _ordered_by_range(model, hosts)
+    by_end: dict[int, _PartialCut] = {0: _PartialCut(0, 0, 0, 0, 0)}
+    by_host: list[dict[int, _PartialCut]] = []
     for host in ordered:
-        room = host.most_layers(model, fill)
-        best = _cut_further(model, host, room, best, host.instance in pending, give_up)
-        trail.append(best)
+        max_layers = host.max_layers(model, fill)
+        by_end = _extend_cuts(model, host, max_layers, by_end, host.instance in pending, give_up)
+        by_host.append(by_end)
     assignments = []
-    end = min(best, key=lambda reached: best[reached].cost_up_to(model.layers, reached))
-    whole = best[end].cost_up_to(model.layers, end)[0] == 0
-    for host, cuts in zip(reversed(ordered), reversed(trail), strict=True):
+    end = min(by_end, key=lambda reached: by_end[reached].cost_up_to(model.layers, reached))
+    is_whole = by_end[end].cost_up_to(model.layers, end)[0] == 0
+    for host, cuts in zip(reversed(ordered), reversed(by_host), strict=True):
         cut = cuts[end]
         if cut.load:
-            low, high = _widened(model, host, cut.first, end, fill)
+            low, high = _with_adjacent_layers(model, host, cut.first, end, fill)
             reason = f"restores {cut.first}-{end}"
             assignments.append(Assignment(host.instance, low, high, reason))
-        end = cut.before
-    return tuple(reversed(assignments)), whole
+        end = cut.predecessor_end
+    return tuple(reversed(assignments)), is_whole
 
 
-def _in_order(model: ModelSpec, hosts: Sequence[LayerHost]) -> list[LayerHost]:
-    """Return the hosts by what they hold, the idle ones where the largest gap begins."""
-    missing = gaps(model, hosts, 1)
-    largest = max(missing, key=lambda each: each[1] - each[0], default=(0, 0))
+def _ordered_by_range(model: ModelSpec, hosts: Sequence[LayerHost]) -> list[LayerHost]:
+    """Return the hosts ordered by their ranges, idle ones where the largest gap begins."""
+    missing_ranges = gaps(model, hosts, 1)
+    largest_gap = max(missing_ranges, key=lambda each: each[1] - each[0], default=(0, 0))
     return sorted(
         hosts,
-        key=lambda each: (largest[0], -1, "") if each.empty else (each.first, each.end, ""),
+        key=lambda each: (largest_gap[0], -1, "") if each.empty else (each.first, each.end, ""),
     )
 
 
-def _cut_further(
+def _extend_cuts(
     model: ModelSpec,
     host: LayerHost,
-    room: int,
-    reached: Mapping[int, _Cut],
-    fixed: bool,
+    max_layers: int,
+    by_end: Mapping[int, _PartialCut],
+    is_fixed: bool,
     give_up: bool,
-) -> dict[int, _Cut]:
-    """Return the best cuts after one more host; a fixed one runs only what it holds."""
-    keeps = not (give_up or host.empty)
-    spare = 0 if fixed else model.most_layers(host.kind) - (host.end - host.first)
-    found: dict[int, _Cut] = {}
-    for first, way in _starts(model, reached):
-        left_out, largest, total, _, _, before = way
-        for end in range(first, min(model.layers, first + room) + 1):
-            kept = min(end, host.end) - max(first, host.first)
-            load = end - first - kept if kept > 0 else end - first
-            if load > spare:
+) -> dict[int, _PartialCut]:
+    """Return the best cuts after one more host; a fixed host runs only layers that it holds."""
+    keeps_layers = not (give_up or host.empty)
+    spare_layers = 0 if is_fixed else model.max_layers(host.kind) - (host.end - host.first)
+    best: dict[int, _PartialCut] = {}
+    for first, cut in _cheapest_starts(model, by_end):
+        uncovered, max_load, total_load, _, _, predecessor_end = cut
+        for end in range(first, min(model.layers, first + max_layers) + 1):
+            overlap = min(end, host.end) - max(first, host.first)
+            load = end - first - overlap if overlap > 0 else end - first
+            if load > spare_layers:
                 continue
-            if keeps and load and not _joined(host, first, end, room):
+            if keeps_layers and load and not _joined(host, first, end, max_layers):
                 continue
-            cost = (left_out, max(largest, load), total + load)
-            if end not in found or cost < found[end][:3]:
-                found[end] = _Cut(*cost, first, load, before)
-    return found
+            cost = (uncovered, max(max_load, load), total_load + load)
+            if end not in best or cost < best[end][:3]:
+                best[end] = _PartialCut(*cost, first, load, predecessor_end)
+    return best
 
 
-def _joined(host: LayerHost, first: int, end: int, room: int) -> bool:
-    """Return whether a range and what a host holds are one range together, with room for it."""
-    touching = first <= host.end and host.first <= end
-    return touching and max(end, host.end) - min(first, host.first) <= room
+def _joined(host: LayerHost, first: int, end: int, max_layers: int) -> bool:
+    """Return whether a range and a host's own range form one range that the host has room for."""
+    is_touching = first <= host.end and host.first <= end
+    return is_touching and max(end, host.end) - min(first, host.first) <= max_layers
 
 
-def _starts(model: ModelSpec, reached: Mapping[int, _Cut]) -> Iterator[tuple[int, _Cut]]:
-    """Yield the cheapest way to begin at each layer, leaving layers out where that is best."""
-    best: _Cut | None = None
+def _cheapest_starts(
+    model: ModelSpec, by_end: Mapping[int, _PartialCut]
+) -> Iterator[tuple[int, _PartialCut]]:
+    """Yield the cheapest cut from which each layer can start, with uncovered layers if needed."""
+    best: _PartialCut | None = None
     for layer in range(model.layers + 1):
-        here = reached.get(layer)
+        candidate = by_end.get(layer)
         if best is not None:
-            best = best._replace(left_out=best.left_out + 1)
-        if here is not None and (best is None or here[:3] <= best[:3]):
-            best = here._replace(before=layer)
+            best = best._replace(uncovered=best.uncovered + 1)
+        if candidate is not None and (best is None or candidate[:3] <= best[:3]):
+            best = candidate._replace(predecessor_end=layer)
         if best is not None:
             yield layer, best
 
 
-def _widened(
+def _with_adjacent_layers(
     model: ModelSpec, host: LayerHost, first: int, end: int, fill: float
 ) -> tuple[int, int]:
-    """Return a new part with as much of what the host holds beside it as its memory takes."""
-    spare = host.most_layers(model, fill) - (end - first)
+    """Return a range, extended by adjacent layers that the host holds as far as memory allows."""
+    spare = host.max_layers(model, fill) - (end - first)
     while spare > 0 and host.first <= end < host.end:
         end += 1
         spare -= 1
--- a/deckcourse/layers/healer.py
+++ b/deckcourse/layers/healer.py
@@ -163,7 +163,7 @@
         held = set(range(assignment.first, assignment.end))
         if not assignment.at_once:
             held |= set(range(row.first, row.end))
-        if len(held) <= model.most_layers(row.kind):
+        if len(held) <= model.max_layers(row.kind):
             return True
         self._log(
             "order-withheld",
--- a/deckcourse/layers/hosts.py
+++ b/deckcourse/layers/hosts.py
@@ -1,7 +1,7 @@
-"""Upstreams as holders of a model's layers, and the groups that hold a model together.
+"""Upstreams as hosts of a model's layers, and the groups of hosts that hold a model.
 
 A group is a failure domain that can hold the model by itself, so that no activations cross between
-domains; upstreams of domains that can't are put together in one group.
+domains; upstreams of the remaining domains form one common group.
 """
 
 from collections import Counter, defaultdict
@@ -12,8 +12,8 @@
 from deckcourse.layers.model import ModelSpec
 
 __all__ = [
-    "EVEN_FILL",
-    "LARGEST_FILL",
+    "PREFERRED_FILL",
+    "MAX_FILL",
     "Assignment",
     "Group",
     "LayerHost",
@@ -22,26 +22,26 @@
     "memory_mb",
 ]
 
-# Stands between the domains in the name of a group of several.
+# Separates the domains in the name of a group of several domains.
 SEPARATOR = "+"
-# Parts of an accelerator's memory that weights may take; the rest holds the KV cache of requests.
-EVEN_FILL = 0.60
-LARGEST_FILL = 0.92
-# What a host that is so many times slower than usual holds is loaded elsewhere as well.
-SLOW_PACE = 2.5
-# A group holds one copy for each time that its memory takes so many times the model's weights; the
+# Shares of an accelerator's memory for weights; the rest holds the KV cache of requests.
+PREFERRED_FILL = 0.60
+MAX_FILL = 0.92
+# The layers of a host that is slower than usual by this factor are also loaded elsewhere.
+MIN_SLOW_PACE = 2.5
+# A group holds one copy for each time that its memory is this multiple of the model's weights; the
 # rest is for the KV cache of requests and for healing.
 MEMORY_PER_COPY = 1.65
 
 
 @dataclass(frozen=True)
 class LayerHost:
-    """An upstream that holds the layers `first` up to `end`, none where both are 0.
+    """An upstream that holds the layers `first` to `end` (exclusive), none if both are 0.
 
-    `usable` is false for one that leaves or that this process suspects, `serving` only for one that
-    is lost beyond doubt; `pace` over 1 says how many times slower than usual it works. `lapsing`
-    says that its row was gone when the store came back: it may be there again in a moment. `scarce`
-    marks a rate limited first upstream, whose layers are loaded elsewhere as well.
+    `usable` is false if the upstream is leaving or this process suspects it, `serving` only if it
+    is confirmed lost. `pace` is the factor by which it is slower than usual. `lapsing` marks one
+    whose row was missing after a store outage and may return. `scarce` marks a rate limited first
+    stage, whose layers are also loaded elsewhere.
     """
 
     instance: str
@@ -59,20 +59,20 @@
 
     @property
     def empty(self) -> bool:
-        """Whether it holds nothing."""
+        """Whether it holds no layers."""
         return self.end <= self.first
 
     def fill(self, model: ModelSpec) -> float:
-        """Return the part of its memory that the weights it holds take."""
+        """Return the share of its memory that the weights it holds occupy."""
         return (self.end - self.first) * model.layer_mb / model.kind_of(self.kind).memory_mb
 
-    def most_layers(self, model: ModelSpec, fill: float) -> int:
-        """Return how many layers it may hold: up to a fill, or as many as it holds already."""
-        return max(model.most_layers(self.kind, fill), self.end - self.first)
+    def max_layers(self, model: ModelSpec, fill: float) -> int:
+        """Return how many layers it may hold: up to a fill, but at least those it already holds."""
+        return max(model.max_layers(self.kind, fill), self.end - self.first)
 
-    def widened(self, first: int, end: int, layers: int) -> tuple[int, int]:
-        """Return a part of what it holds, widened to `layers` layers as far as it holds them."""
-        while end - first < layers and (first > self.first or end < self.end):
+    def widened(self, first: int, end: int, count: int) -> tuple[int, int]:
+        """Return a range within its own, widened to `count` layers or to all that it holds."""
+        while end - first < count and (first > self.first or end < self.end):
             if end < self.end:
                 end += 1
             else:
@@ -82,9 +82,9 @@
 
 @dataclass(frozen=True)
 class Assignment:
-    """What one upstream should hold from now on, and why.
+    """The range that one upstream is to hold, and why.
 
-    With `at_once` it gives up everything else without waiting for the requests that pass there.
+    With `at_once` it drops its other layers without waiting for requests that run on them.
     """
 
     instance: str
@@ -96,10 +96,10 @@
 
 @dataclass(frozen=True)
 class Group:
-    """Upstreams that are to hold `copies` of a model together.
+    """Upstreams that are to hold `copies` copies of a model together.
 
-    `open` tells whether every layer is held if slow and doubtful ones count: new requests may be
-    served then. `passable` tells the same if those that leave count too: streams under way go on.
+    `open` is true if every layer is held, slow and suspected hosts included: new requests may be
+    served. `passable` is the same with leaving hosts included: running streams continue.
     """
 
     name: str
@@ -110,65 +110,69 @@
 
 
 def groups_of(model: ModelSpec, hosts: Iterable[LayerHost]) -> tuple[Group, ...]:
-    """Return the groups of the usable hosts; hosts of a rest that can't hold the model are none.
+    """Return the groups of the usable hosts, without domains that can't hold the model together.
 
     Args:
       model: the model to place.
-      hosts: every upstream of its service.
+      hosts: all upstreams of the model's service.
     """
     usable: dict[str, list[LayerHost]] = defaultdict(list)
     serving: dict[str, list[LayerHost]] = defaultdict(list)
     for host in hosts:
-        if host.usable and host.pace < SLOW_PACE and not host.scarce:
+        if host.usable and host.pace < MIN_SLOW_PACE and not host.scarce:
             usable[host.domain].append(host)
         if host.serving:
             serving[host.domain].append(host)
     groups = []
-    rest: list[str] = []
-    for domain, members in sorted(usable.items()):
-        if _can_hold(model, members):
-            groups.append(_group(model, domain, members, serving[domain]))
+    leftover_domains: list[str] = []
+    for domain, domain_hosts in sorted(usable.items()):
+        if _can_hold(model, domain_hosts):
+            groups.append(_group(model, domain, domain_hosts, serving[domain]))
         else:
-            rest.append(domain)
-    together = [each for domain in rest for each in usable[domain]]
-    if together and _can_hold(model, together):
-        there = [each for domain in rest for each in serving[domain]]
-        groups.append(_group(model, SEPARATOR.join(rest), together, there))
+            leftover_domains.append(domain)
+    leftover_hosts = [each for domain in leftover_domains for each in usable[domain]]
+    if leftover_hosts and _can_hold(model, leftover_hosts):
+        serving_hosts = [each for domain in leftover_domains for each in serving[domain]]
+        groups.append(
+            _group(model, SEPARATOR.join(leftover_domains), leftover_hosts, serving_hosts)
+        )
     return tuple(groups)
 
 
 def domains_of(group: str) -> frozenset[str]:
-    """Return the failure domains of the group of a name."""
+    """Return the failure domains of a group by its name."""
     return frozenset(group.split(SEPARATOR))
 
 
 def memory_mb(model: ModelSpec, hosts: Iterable[LayerHost]) -> float:
-    """Return the memory of all hosts together, in MB."""
-    return sum(model.kind_of(kind).memory_mb * count for kind, count in _kinds(hosts).items())
+    """Return the total memory of the hosts, MB."""
+    return sum(model.kind_of(kind).memory_mb * count for kind, count in _kind_counts(hosts).items())
 
 
-def _kinds(hosts: Iterable[LayerHost]) -> Counter[str]:
-    """Return how many hosts there are of each kind, of which there are few."""
+def _kind_counts(hosts: Iterable[LayerHost]) -> Counter[str]:
+    """Return the number of hosts of each kind; there are few kinds."""
     return Counter([each.kind for each in hosts])
 
 
 def _can_hold(model: ModelSpec, hosts: Sequence[LayerHost]) -> bool:
-    counts = _kinds(hosts).items()
-    most = sum(model.most_layers(kind, LARGEST_FILL) * count for kind, count in counts)
-    return most >= model.layers
+    counts = _kind_counts(hosts).items()
+    capacity = sum(model.max_layers(kind, MAX_FILL) * count for kind, count in counts)
+    return capacity >= model.layers
 
 
 def _group(
-    model: ModelSpec, name: str, hosts: Sequence[LayerHost], there: Sequence[LayerHost]
+    model: ModelSpec, name: str, hosts: Sequence[LayerHost], serving_hosts: Sequence[LayerHost]
 ) -> Group:
     copies = int(memory_mb(model, hosts) / (MEMORY_PER_COPY * model.layers * model.layer_mb))
     ordered = tuple(sorted(hosts, key=attrgetter("instance")))
-    is_open = _holds_all(model, [each for each in there if not each.leaving])
-    return Group(name, ordered, max(1, copies), is_open, is_open or _holds_all(model, there))
+    is_open = _holds_all(model, [each for each in serving_hosts if not each.leaving])
+    return Group(
+        name, ordered, max(1, copies), is_open, is_open or _holds_all(model, serving_hosts)
+    )
 
 
 def _holds_all(model: ModelSpec, hosts: Iterable[LayerHost]) -> bool:
-    # Many hosts hold the same few ranges.
+    # A set of ranges, since many hosts hold the same few ranges.
     ranges = {(each.first, each.end) for each in hosts}
-    held = {layer for first, end in ranges for layer in range(first, end)}
-    return held >= set(range(model.layers))
+    covered = {layer for first, end in ranges for layer in range(first, end)}
+    return covered >= set(range(model.layers))
--- a/deckcourse/layers/improvements.py
+++ b/deckcourse/layers/improvements.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 
 from deckcourse.layers.coverage import gaps
-from deckcourse.layers.hosts import EVEN_FILL, LARGEST_FILL, Assignment, LayerHost
+from deckcourse.layers.hosts import MAX_FILL, PREFERRED_FILL, Assignment, LayerHost
 from deckcourse.layers.model import ModelSpec
 
 __all__ = ["add_copy", "balance", "relieve", "trim"]
@@ -33,8 +33,8 @@
     """
     first, end = gap
     ordered = sorted(idle, key=lambda each: (-model.kind_of(each.kind).memory_mb, each.instance))
-    for fill in (IMPROVING_FILL, LARGEST_FILL):
-        limits = [model.most_layers(each.kind, fill) for each in ordered]
+    for fill in (IMPROVING_FILL, MAX_FILL):
+        limits = [model.max_layers(each.kind, fill) for each in ordered]
         shares = _even_shares(end - first, limits)
         if shares is not None:
             return _dealt(ordered, shares, first, f"gap {first}-{end}")
@@ -69,7 +69,7 @@
     assignments = []
     fullest = sorted((each for each in hosts if not each.empty), key=lambda each: -each.fill(model))
     for idle, full in zip((each for each in hosts if each.empty), fullest, strict=False):
-        count = model.most_layers(idle.kind, EVEN_FILL)
+        count = model.max_layers(idle.kind, PREFERRED_FILL)
         if count == 0:
             continue
         low = max(0, min(full.first, model.layers - count))
@@ -106,7 +106,7 @@
     both = (full.end - full.first) + (emptier.end - emptier.first)
     keep = max(1, round(both * memory[0] / sum(memory)))
     count = max(1, full.end - full.first - keep)
-    room = model.most_layers(emptier.kind, IMPROVING_FILL) - (emptier.end - emptier.first)
+    room = model.max_layers(emptier.kind, IMPROVING_FILL) - (emptier.end - emptier.first)
     count = max(1, min(count, room))
     if emptier.first < full.first:
         low, high = emptier.first, max(emptier.end, full.first + count)
@@ -123,7 +123,7 @@
         others = [each for each in hosts if each is not host]
         needed = gaps(model, others, copies)
         low, high = _still_needed(host, needed)
-        keep = max(1, model.most_layers(host.kind, EVEN_FILL))
+        keep = max(1, model.max_layers(host.kind, PREFERRED_FILL))
         low, high = host.widened(low, high, keep)
         if (low, high) != (host.first, host.end):
             return (Assignment(host.instance, low, high, "trimmed"),)
--- a/deckcourse/layers/layouts.py
+++ b/deckcourse/layers/layouts.py
@@ -15,7 +15,7 @@
     memory_capacity,
     survival_probability,
 )
-from deckcourse.layers.hosts import EVEN_FILL, LARGEST_FILL, Assignment, Group, LayerHost
+from deckcourse.layers.hosts import MAX_FILL, PREFERRED_FILL, Assignment, Group, LayerHost
 from deckcourse.layers.model import ModelSpec
 from deckcourse.layers.slices import slice_sizes
 
@@ -49,7 +49,7 @@
 
 def best_layout(model: ModelSpec, group: Group) -> Layout:
     """Return the layout of empty hosts that serves the most streams, empty where none fits."""
-    for fill in (FIRST_FILL, LARGEST_FILL):
+    for fill in (FIRST_FILL, MAX_FILL):
         layouts = [way(model, group, fill) for way in LAYOUTS]
         best = max(layouts, key=lambda each: layout_rate(model, group, each))
         if best:
@@ -214,7 +214,7 @@
 
 def _starter(model: ModelSpec, kind: str) -> HeldLayers:
     """Return what a host that only begins paths holds."""
-    return HeldLayers(kind, 0, min(max(1, model.most_layers(kind, EVEN_FILL)), model.layers))
+    return HeldLayers(kind, 0, min(max(1, model.max_layers(kind, PREFERRED_FILL)), model.layers))
 
 
 def _interleaved(kinds: Sequence[str]) -> list[int]:
--- a/deckcourse/layers/leveling.py
+++ b/deckcourse/layers/leveling.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
 
-from deckcourse.layers.hosts import EVEN_FILL, LARGEST_FILL, Assignment, LayerHost
+from deckcourse.layers.hosts import MAX_FILL, PREFERRED_FILL, Assignment, LayerHost
 from deckcourse.layers.model import ModelSpec
 
 __all__ = ["level"]
@@ -87,7 +87,7 @@
 
 def _cut_further(model: ModelSpec, host: LayerHost, reached: Mapping[int, _Cut]) -> dict[int, _Cut]:
     """Return the best cuts after one more host."""
-    room = host.most_layers(model, LARGEST_FILL)
+    room = host.max_layers(model, MAX_FILL)
     step = model.layer_mb / model.kind_of(host.kind).memory_mb / FILL_STEP
     # Where it doesn't run anything it keeps what it holds.
     found = {first: _Cut(cut.fullest, cut.loads, first) for first, cut in reached.items()}
@@ -128,7 +128,7 @@
         first, end = cuts[host.instance]
         if first >= end or host.fill(model) <= LEVEL_FILL:
             continue
-        keep = model.most_layers(host.kind, EVEN_FILL)
+        keep = model.max_layers(host.kind, PREFERRED_FILL)
         first, end = host.widened(first, end, keep)
         if (first, end) != (host.first, host.end):
             assignments.append(Assignment(host.instance, first, end, "leveled"))
--- a/deckcourse/layers/model.py
+++ b/deckcourse/layers/model.py
@@ -1,19 +1,19 @@
-"""The figures of a model whose layers are spread over upstreams."""
+"""The description of a model whose layers are distributed over upstreams."""
 
 from dataclasses import dataclass, field
 
 __all__ = ["HOP_MS", "AcceleratorKind", "ModelSpec"]
 
-# One more upstream in the same failure domain costs this much a token, milliseconds: 0.2 ms of
-# delay is what the deployments state.
+# Time that each further upstream of the same failure domain adds to a token, milliseconds;
+# deployments state a delay of 0.2 ms.
 HOP_MS = 0.2
-# Memory is stated in decimal megabytes.
+# Memory is configured in decimal megabytes.
 BYTES_PER_MB = 1_000_000.0
 
 
 @dataclass(frozen=True)
 class AcceleratorKind:
-    """A kind of accelerator; both factors are against the model's own figures, 1 the fastest."""
+    """A kind of accelerator; the factors multiply the model's times, 1 being the fastest."""
 
     name: str
     memory_mb: float
@@ -23,28 +23,28 @@
 
 @dataclass(frozen=True)
 class ModelSpec:
-    """A model, by what its operators say of it; the times are for all its layers together.
+    """A model as its operators describe it; times are for all its layers together.
 
     Attributes:
-      name: what requests call it.
-      layers: how many there are.
-      layer_mb: the memory that one layer's weights take.
-      load_seconds: the time to load all layers, on one upstream.
-      step_ms: one token for one stream, milliseconds.
-      stream_step_ms: what each further stream adds to a step, milliseconds.
-      context_step_ms: what each stream adds for 1,000 tokens that it holds, milliseconds.
-      prefill_per_ms: tokens of a prompt that are read in a millisecond.
-      pairs_ms: what reading adds for a million pairs of a token and one before it, milliseconds.
-      event_tokens: how many tokens an event of an answer holds.
-      activation_bytes: what one token's activations take between two upstreams.
+      name: the model name in requests.
+      layers: the number of layers.
+      layer_mb: the memory of one layer's weights, MB.
+      load_seconds: the time to load all layers on one upstream.
+      step_ms: the time of one token for one stream, milliseconds.
+      stream_step_ms: what each further concurrent stream adds to a step, milliseconds.
+      context_step_ms: what each stream adds to a step for 1,000 tokens of context, milliseconds.
+      prefill_per_ms: the prompt tokens that are processed in a millisecond.
+      pairs_ms: what prefill adds for a million pairs of a token and an earlier one, milliseconds.
+      event_tokens: the number of tokens in an event of an answer.
+      activation_bytes: the size of one token's activations sent between two upstreams, bytes.
       cache_bytes: the KV cache of one token in all layers, bytes.
-      pipe_mbps: what all upstreams of one failure domain share towards another, Mbit/s.
-      domain_delays: one-way delay between failure domains, seconds, either order.
-      requests: how many requests an upstream works on at once as the first of a path.
-      parallel_loads: how many loads at once keep their speed.
+      pipe_mbps: the bandwidth between two failure domains, shared by their upstreams, Mbit/s.
+      domain_delays: one-way delay between failure domains, seconds, in either order.
+      requests: the concurrent requests that an upstream accepts as the first stage of a path.
+      parallel_loads: the number of concurrent loads that don't slow each other down.
       kinds: the accelerators, by name.
-      usual_prompt: the tokens of a request's prompt, in the mean.
-      usual_answer: the tokens of its answer, in the mean.
+      usual_prompt: the mean number of tokens in a prompt.
+      usual_answer: the mean number of tokens in an answer.
     """
 
     name: str
@@ -69,58 +69,60 @@
 
     @property
     def usual_tokens(self) -> float:
-        """What a usual request holds in the KV cache in the mean over its time, tokens.
+        """The mean number of tokens that a usual request holds in the KV cache while it runs.
 
         That is its prompt and half of its answer.
         """
         return self.usual_prompt + self.usual_answer / 2
 
     def kind_of(self, name: str) -> AcceleratorKind:
-        """Return a kind; one that nobody described counts as fast and large as the model's own."""
-        known = self.kinds.get(name)
-        if known is not None:
-            return known
+        """Return a kind; an undescribed one holds the whole model and has the model's own speed."""
+        described = self.kinds.get(name)
+        if described is not None:
+            return described
         return AcceleratorKind(name, self.layer_mb * self.layers, 1.0, 1.0)
 
-    def most_layers(self, kind: str, fill: float = 1.0) -> int:
-        """Return how many layers fit into a part of an accelerator's memory."""
+    def max_layers(self, kind: str, fill: float = 1.0) -> int:
+        """Return how many layers fit into a share `fill` of an accelerator's memory."""
         return int(self.kind_of(kind).memory_mb * fill / self.layer_mb)
 
-    def tokens_beside(self, kind: str, held: int, run: int) -> float:
-        """Return how many tokens' KV cache fit beside an upstream's weights.
+    def cache_capacity_tokens(self, kind: str, held_layers: int, run_layers: int) -> float:
+        """Return how many tokens' KV cache fits into an upstream's memory besides the weights.
 
         Args:
           kind: the accelerator.
-          held: the layers whose weights it holds.
-          run: the layers that the requests pass there.
+          held_layers: the number of layers whose weights the upstream holds.
+          run_layers: the number of layers that requests run there.
         """
-        room = self.kind_of(kind).memory_mb - held * self.layer_mb
-        per_token = self.cache_bytes / self.layers * run
-        return max(0.0, room * BYTES_PER_MB / per_token) if per_token else float("inf")
+        free_mb = self.kind_of(kind).memory_mb - held_layers * self.layer_mb
+        bytes_per_token = self.cache_bytes / self.layers * run_layers
+        return (
+            max(0.0, free_mb * BYTES_PER_MB / bytes_per_token) if bytes_per_token else float("inf")
+        )
 
-    def places(self, kind: str, held: int, run: int) -> float:
-        """Return how many usual requests fit beside an upstream's weights, as `tokens_beside`."""
-        return self.tokens_beside(kind, held, run) / self.usual_tokens
+    def places(self, kind: str, held_layers: int, run_layers: int) -> float:
+        """Return how many usual requests' KV cache fits; see `cache_capacity_tokens`."""
+        return self.cache_capacity_tokens(kind, held_layers, run_layers) / self.usual_tokens
 
     def token_ms(self, kind: str, streams: float = 1.0) -> float:
-        """Return the time of one token in all layers of an accelerator, milliseconds.
+        """Return the time of one token in all layers on an accelerator, milliseconds.
 
         Args:
           kind: the accelerator.
-          streams: how many streams are written at once there, with usual prompts and answers.
+          streams: the number of concurrent streams there, with usual prompts and answers.
         """
-        each_adds = self.stream_step_ms + self.context_step_ms * self.usual_tokens / 1000
-        return self.kind_of(kind).step_factor * (self.step_ms + streams * each_adds)
+        per_stream_ms = self.stream_step_ms + self.context_step_ms * self.usual_tokens / 1000
+        return self.kind_of(kind).step_factor * (self.step_ms + streams * per_stream_ms)
 
-    def reading_ms(self, kind: str) -> float:
-        """Return the time that a usual prompt takes in all layers of an accelerator, ms."""
-        pairs = self.usual_prompt**2 / 2 / 1_000_000
-        alone = self.usual_prompt / self.prefill_per_ms + pairs * self.pairs_ms
-        return self.kind_of(kind).prefill_factor * alone
+    def prompt_ms(self, kind: str) -> float:
+        """Return the prefill time of a usual prompt in all layers on an accelerator, ms."""
+        million_pairs = self.usual_prompt**2 / 2 / 1_000_000
+        base_ms = self.usual_prompt / self.prefill_per_ms + million_pairs * self.pairs_ms
+        return self.kind_of(kind).prefill_factor * base_ms
 
     def delay(self, domain: str, other: str) -> float:
         """Return the one-way delay between failure domains, seconds."""
         if domain == other:
             return 0.0
-        pairs = self.domain_delays
-        return pairs.get((domain, other), pairs.get((other, domain), 0.0))
+        delays = self.domain_delays
+        return delays.get((domain, other), delays.get((other, domain), 0.0))
--- a/deckcourse/layers/paths.py
+++ b/deckcourse/layers/paths.py
@@ -12,7 +12,7 @@
 from functools import cached_property
 from typing import NamedTuple
 
-from deckcourse.layers.hosts import EVEN_FILL, LayerHost
+from deckcourse.layers.hosts import PREFERRED_FILL, LayerHost
 from deckcourse.layers.model import HOP_MS, ModelSpec
 
 __all__ = ["LayerPath", "PathFinder", "PathPart"]
@@ -120,7 +120,7 @@
         kind = model.kind_of(host.kind)
         prompt = model.usual_prompt / model.prefill_per_ms * kind.prefill_factor
         answer = model.usual_answer * model.step_ms * kind.step_factor
-        fullness = max(0.0, host.fill(model) - EVEN_FILL)
+        fullness = max(0.0, host.fill(model) - PREFERRED_FILL)
         return (prompt + answer) / model.layers * (1.0 + FULL_WEIGHT * fullness)
 
     def _crossing(self, domain: str, other: str) -> float:
--- a/deckcourse/layers/relocation.py
+++ b/deckcourse/layers/relocation.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from itertools import combinations
 
-from deckcourse.layers.coverage import holders
-from deckcourse.layers.hosts import LARGEST_FILL, Assignment, LayerHost
+from deckcourse.layers.coverage import holder_counts
+from deckcourse.layers.hosts import MAX_FILL, Assignment, LayerHost
 from deckcourse.layers.model import ModelSpec
 
 __all__ = ["relocate"]
@@ -60,7 +60,7 @@
     hosts: Sequence[LayerHost],
     pending: Mapping[str, tuple[int, int]],
     may_cut: bool = True,
-    fill: float = LARGEST_FILL,
+    fill: float = MAX_FILL,
 ) -> tuple[Assignment, ...]:
     """Return the quickest plan that makes a model whole by taking some hosts elsewhere.
 
@@ -114,7 +114,7 @@
     model: ModelSpec, hosts: Sequence[LayerHost], pending: Mapping[str, tuple[int, int]]
 ) -> list[LayerHost]:
     """Return the hosts that may be taken, those first whose layers others hold most of."""
-    depth = holders(model, hosts)
+    depth = holder_counts(model, hosts)
     may_go = [each for each in hosts if not each.empty and each.instance not in pending]
     alone = {
         each.instance: sum(depth[layer] == 1 for layer in range(each.first, each.end))
@@ -141,7 +141,7 @@
     furthest: _Widening | None = None
     reached = 0
     for host in sorted(staying, key=lambda each: (each.first, each.end, each.instance)):
-        room = model.most_layers(host.kind, fill) - (host.end - host.first)
+        room = model.max_layers(host.kind, fill) - (host.end - host.first)
         spare = 0 if host.instance in pending else max(0, min(most, room))
         current = _Widening(host, host.first, host.end, spare)
         if host.first > reached:
@@ -190,7 +190,7 @@
 ) -> list[Assignment] | None:
     """Place free hosts into the ranges that nobody holds, None where they are too few."""
     waiting = sorted(
-        free, key=lambda each: (not each.empty, -model.most_layers(each.kind), each.instance)
+        free, key=lambda each: (not each.empty, -model.max_layers(each.kind), each.instance)
     )
     placed: list[Assignment] = []
     for first, end in sorted(missing, key=lambda each: each[0] - each[1]):
@@ -211,7 +211,7 @@
         if not waiting:
             return None
         team.append(waiting.pop(0))
-        room += model.most_layers(team[-1].kind, fill)
+        room += model.max_layers(team[-1].kind, fill)
     return team
 
 
@@ -222,12 +222,12 @@
     placed = []
     at = first
     for index, host in enumerate(team):
-        limit = model.most_layers(host.kind, fill)
-        after = sum(model.most_layers(each.kind, fill) for each in team[index + 1 :])
+        limit = model.max_layers(host.kind, fill)
+        after = sum(model.max_layers(each.kind, fill) for each in team[index + 1 :])
         even = -(-(end - at) // (len(team) - index))
         count = min(limit, max(even, end - at - after))
         # What it holds goes at once where both don't fit into its memory together.
-        at_once = host.end - host.first + count > model.most_layers(host.kind)
+        at_once = host.end - host.first + count > model.max_layers(host.kind)
         reason = f"moves to {first}-{end}"
         placed.append(Assignment(host.instance, at, at + count, reason, at_once))
         at += count
--- a/deckcourse/layers/repair.py
+++ b/deckcourse/layers/repair.py
@@ -3,9 +3,9 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import replace
 
-from deckcourse.layers.coverage import holders
+from deckcourse.layers.coverage import holder_counts
 from deckcourse.layers.cuts import restore
-from deckcourse.layers.hosts import LARGEST_FILL, Assignment, Group, LayerHost
+from deckcourse.layers.hosts import MAX_FILL, Assignment, Group, LayerHost
 from deckcourse.layers.model import ModelSpec
 from deckcourse.layers.relocation import relocate
 from deckcourse.layers.slices import slice_model
@@ -40,7 +40,7 @@
     Returns:
       The assignments, none where nothing brings the model nearer to being whole.
     """
-    for fill in (HEALING_FILL, LARGEST_FILL):
+    for fill in (HEALING_FILL, MAX_FILL):
         widened, whole = restore(model, hosts, pending, give_up=False, fill=fill)
         if whole:
             return widened
@@ -79,7 +79,7 @@
 def _extended(model: ModelSpec, host: LayerHost, wanted: Assignment) -> tuple[int, int]:
     """Return a host's range, wider towards what is wanted as far as its memory goes."""
     low, high = host.first, host.end
-    spare = model.most_layers(host.kind, LARGEST_FILL) - (high - low)
+    spare = model.max_layers(host.kind, MAX_FILL) - (high - low)
     while spare > 0 and (wanted.first < low or high < wanted.end):
         if high < wanted.end:
             high += 1
@@ -91,7 +91,7 @@
 
 def _make_room(model: ModelSpec, hosts: Sequence[LayerHost]) -> tuple[Assignment, ...]:
     """Let hosts that are full give up layers that others hold too, on the side away from a gap."""
-    depth = holders(model, hosts)
+    depth = holder_counts(model, hosts)
     ordered = sorted(hosts, key=lambda each: (each.first, each.end, each.instance))
     by_instance = {each.instance: each for each in hosts}
     assignments = []
--- a/deckcourse/layers/slices.py
+++ b/deckcourse/layers/slices.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Sequence
 
-from deckcourse.layers.hosts import LARGEST_FILL, Assignment, LayerHost
+from deckcourse.layers.hosts import MAX_FILL, Assignment, LayerHost
 from deckcourse.layers.model import ModelSpec
 
 __all__ = ["slice_model", "slice_sizes"]
@@ -24,7 +24,7 @@
 
 
 def slice_sizes(
-    model: ModelSpec, kinds: Sequence[str], speed_power: float = 0.0, fill: float = LARGEST_FILL
+    model: ModelSpec, kinds: Sequence[str], speed_power: float = 0.0, fill: float = MAX_FILL
 ) -> list[int]:
     """Return how many layers each of several hosts in a row should hold.
 
@@ -38,7 +38,7 @@
       The sizes, which sum up to the model; none where it doesn't fit.
     """
     weight_of = {each: _weight(model, each, speed_power) for each in set(kinds)}
-    room_of = {each: model.most_layers(each, fill) for each in weight_of}
+    room_of = {each: model.max_layers(each, fill) for each in weight_of}
     weight_after = sum(weight_of[each] for each in kinds)
     room_after = sum(room_of[each] for each in kinds)
     if room_after < model.layers:
--- a/features/healer_standins.py
+++ b/features/healer_standins.py
@@ -133,7 +133,7 @@
         held = set(range(*self._ranges[name])) if not assignment.at_once else set()
         order = (name, first, end)
         self.taken.append(order)
-        if len(held | set(range(first, end))) > self.model.most_layers(self.kind):
+        if len(held | set(range(first, end))) > self.model.max_layers(self.kind):
             self.over_capacity.append((order, self._ranges[name]))
         self._orders[name] += 1
         self._loading[name] = now + self.LOAD_SECONDS
--- a/features/layer_world.py
+++ b/features/layer_world.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from deckcourse.layers.hosts import LARGEST_FILL, groups_of
+from deckcourse.layers.hosts import MAX_FILL, groups_of
 from deckcourse.layers.model import AcceleratorKind, ModelSpec
 from deckcourse.layers.path_set import PathSet
 from deckcourse.layers.placement import plan_group
@@ -66,8 +66,7 @@
 def within_memory(model, plan, hosts):
     kinds = {each.instance: each.kind for each in hosts}
     return all(
-        each.end - each.first <= model.most_layers(kinds[each.instance], LARGEST_FILL)
-        for each in plan
+        each.end - each.first <= model.max_layers(kinds[each.instance], MAX_FILL) for each in plan
     )
 
 
@@ -79,7 +78,7 @@
         both = set(range(each.first, each.end))
         if not each.at_once:
             both |= set(range(host.first, host.end))
-        if len(both) > model.most_layers(host.kind):
+        if len(both) > model.max_layers(host.kind):
             return False
     return True
 
--- a/features/steps/layer_steps.py
+++ b/features/steps/layer_steps.py
@@ -20,7 +20,7 @@
 )
 
 from deckcourse.layers.cuts import restore
-from deckcourse.layers.hosts import LARGEST_FILL, LayerHost, groups_of
+from deckcourse.layers.hosts import MAX_FILL, LayerHost, groups_of
 from deckcourse.layers.layouts import best_layout, layout_rate
 from deckcourse.layers.model import AcceleratorKind
 from deckcourse.layers.placement import plan_group
@@ -99,7 +99,7 @@
     hosts = carried_out(context.hosts, context.plan)
     assert set(depth(context.model, hosts)) == {1}
     assert within_memory(context.model, context.plan, hosts)
-    assert fill == LARGEST_FILL
+    assert fill == MAX_FILL
 
 
 @when("{lost:d} hosts are lost, one seed after the other, and the group is planned until it rests")
@@ -125,7 +125,7 @@
 @then("every layer is held and no order went beyond {fill:g} of a host's memory")
 def held_after(context, fill):
     assert len(context.ends) > SEEDS * 0.9
-    assert context.orders_fit and fill == LARGEST_FILL
+    assert context.orders_fit and fill == MAX_FILL
     for hosts in context.ends:
         assert min(depth(context.model, hosts)) >= 1, hosts
 
@@ -143,7 +143,7 @@
         name, _, room = entry.strip().partition(" of ")
         count = int(room) // 5
         context.hosts += [LayerHost(f"{name}{index:02}", name, "unit") for index in range(count)]
-    unit = AcceleratorKind("unit", 5.0 / LARGEST_FILL * size + 1, 1.0, 1.0)
+    unit = AcceleratorKind("unit", 5.0 / MAX_FILL * size + 1, 1.0, 1.0)
     context.model = replace(context.model, kinds={"unit": unit})
 
 
