--- a/deckcourse/layers/orders.py
+++ b/deckcourse/layers/orders.py
@@ -18,10 +18,10 @@
 
 __all__ = ["LayerReport", "OrderOutcome", "OrderResult", "OrderSender", "Orderer"]
 
-# Maximum number of times that one order is sent.
+# Maximum number of attempts for one order.
 MOST_ORDER_TRIES = 4
 # Number of consecutive accepted orders that an upstream drops before orders to it are paused.
-MOST_DROPPED_ORDERS = 2
+MAX_DROPPED_ORDERS = 2
 # Maximum age of the state in an upstream's report, seconds.
 REPORT_LAG_SECONDS = 0.25
 
@@ -46,8 +46,8 @@
 class LayerReport:
     """An upstream's order count and layers at one point in time.
 
-    `orders` is the number of orders taken. `held` is the range held, its end exclusive, or None if
-    the upstream doesn't report it. `busy` is true while an order is under way.
+    `orders` is the number of orders accepted. `held` is the range held, its end exclusive, or None
+    if the upstream doesn't report it. `busy` is true while an order is in progress.
     """
 
     orders: int
@@ -124,12 +124,12 @@
         result = OrderResult.UNANSWERED
         conflicts = 0
         for _ in range(MOST_ORDER_TRIES):
-            # After a restart the order no longer applies: it was planned for the previous start.
-            is_there = self._upstreams.get(row.instance) is not None
-            if report is None or not is_there or trio.current_time() >= deadline:
+            # After a restart the order no longer applies: it was planned for the old incarnation.
+            is_known = self._upstreams.get(row.instance) is not None
+            if report is None or not is_known or trio.current_time() >= deadline:
                 break
             unsent_result = _result_without_sending(report, assignment, expected_range)
-            if unsent_result is None and self._dropped_orders[row.instance] >= MOST_DROPPED_ORDERS:
+            if unsent_result is None and self._dropped_orders[row.instance] >= MAX_DROPPED_ORDERS:
                 # Reset the count so that orders are sent again after the caller's pause.
                 self._dropped_orders[row.instance] = 0
                 unsent_result = OrderResult.UNRELIABLE
@@ -156,9 +156,9 @@
         if row.end <= row.first:
             # Usually just started; an upstream that has taken an order rejects a count of 0.
             return LayerReport(0, expected_range)
-        known = self._reports.get(row.instance)
-        if known is not None and self._upstreams.throttles.is_limited(row.instance):
-            return known
+        cached = self._reports.get(row.instance)
+        if cached is not None and self._upstreams.throttles.is_limited(row.instance):
+            return cached
         return await self._confirmed_report(row, expected_range)
 
     async def _confirmed_report(
@@ -201,7 +201,7 @@
 ) -> OrderResult | None:
     """Return the result of an order that need not or must not be sent, None if it may be sent.
 
-    While an order is under way, the reported range doesn't match the order count yet.
+    While an order is in progress, the reported range doesn't match the order count yet.
     """
     if report.busy:
         return OrderResult.CONFLICT
--- a/deckcourse/layers/placement.py
+++ b/deckcourse/layers/placement.py
@@ -1,7 +1,7 @@
-"""The placement of a model's layers: what each upstream should hold, worked out from what is held.
+"""Computes from the layers held which layers each upstream of a group should hold.
 
-The planner keeps no state of its own. It reads who is there and what they hold, and returns the
-assignments that bring the model nearer to being whole in each group of upstreams.
+The planner is stateless: from the hosts and their ranges it returns the assignments that bring the
+model closer to being whole in the group.
 """
 
 from collections.abc import Mapping
@@ -25,16 +25,16 @@
     settled: bool = True,
     rested: bool = True,
 ) -> tuple[Assignment, ...]:
-    """Return what should be ordered now, nothing where the group is as it should be.
+    """Return the orders to give now, none if the group needs no change.
 
     Args:
       model: the model to place.
-      group: who is there and what they hold.
-      pending: ranges that are ordered and not yet held, by instance.
-      settled: whether the rows can be relied on; if not, nothing is given up.
-      rested: whether the last plan is long enough ago for one that only improves.
+      group: the hosts and the layers that they hold.
+      pending: the ranges that are ordered and not yet held, by instance.
+      settled: whether the rows are reliable; if not, no layers are dropped.
+      rested: whether enough time has passed since the last plan for one that only improves.
     """
-    # What will be held once the pending orders are done.
+    # The ranges that will be held once the pending orders are done.
     ranges = [pending.get(each.instance) or (each.first, each.end) for each in group.hosts]
     if all(end <= first for first, end in ranges):
         return tuple(each for copy in best_layout(model, group) for each in copy)
@@ -47,10 +47,10 @@
     if pending or not (settled and rested):
         return ()
     hosts = group.hosts
-    thin = gaps(model, hosts, group.copies)
+    thin_ranges = gaps(model, hosts, group.copies)
     idle = [each for each in hosts if each.empty]
-    if thin and idle:
-        return add_copy(model, idle, thin[0])
+    if thin_ranges and idle:
+        return add_copy(model, idle, thin_ranges[0])
     if group.copies == 1:
         return relieve(model, hosts) or level(model, hosts)
     return relieve(model, hosts) or trim(model, hosts, group.copies) or balance(model, hosts)
--- a/deckcourse/layers/repair.py
+++ b/deckcourse/layers/repair.py
@@ -1,4 +1,4 @@
-"""What makes a model whole again, or brings it nearer to that."""
+"""Plans that make a model whole again, or closer to it."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import replace
@@ -12,8 +12,8 @@
 
 __all__ = ["heal"]
 
-# Hosts are filled no further than this where that makes the model whole: beside it there is room
-# for some 40 usual requests at once, beside the largest fill for 20.
+# Hosts are filled at most this far where that makes the model whole: the remaining memory holds
+# some 40 concurrent usual requests, with the maximum fill 20.
 HEALING_FILL = 0.83
 
 
@@ -24,25 +24,25 @@
     pending: Mapping[str, tuple[int, int]],
     settled: bool,
 ) -> tuple[Assignment, ...]:
-    """Return what makes a model whole again, or nearer to it.
+    """Return the orders that make a model whole again, or closer to it.
 
-    Hosts that only widen their ranges break nothing, whatever becomes of the plan. Layers are given
-    up only where that makes the model whole at once and nothing is under way; half of such a plan
-    would open one gap for another.
+    Hosts that only extend their ranges do no harm, even if the plan is carried out in part. Layers
+    are dropped only where that makes the model whole at once and no order is pending: otherwise
+    half of such a plan would open one gap to close another.
 
     Args:
       model: the model to make whole.
-      group: whether requests still pass there decides what may be given up.
-      hosts: everybody in the group, with what is promised.
-      pending: who takes no order now.
-      settled: whether the rows can be relied on; if not, no host leaves its place.
+      group: the group; whether it serves requests decides what may be dropped.
+      hosts: the hosts of the group, with their pending ranges.
+      pending: the hosts that accept no order now.
+      settled: whether the rows are reliable; if not, no host is moved.
 
     Returns:
-      The assignments, none where nothing brings the model nearer to being whole.
+      The assignments, none if nothing brings the model closer to being whole.
     """
     for fill in (HEALING_FILL, MAX_FILL):
-        widened, whole = restore(model, hosts, pending, give_up=False, fill=fill)
-        if whole:
+        widened, is_whole = restore(model, hosts, pending, give_up=False, fill=fill)
+        if is_whole:
             return widened
         if settled and not group.open:
             relocated = relocate(model, hosts, pending, not group.passable, fill)
@@ -50,18 +50,18 @@
                 return relocated
     if pending:
         return widened
-    moved, whole = restore(model, hosts, pending, give_up=True)
-    if whole:
-        return moved
+    recut, is_whole = restore(model, hosts, pending, give_up=True)
+    if is_whole:
+        return recut
     widened = widened or _widen_towards_slices(model, hosts)
-    return widened or (_make_room(model, hosts) if settled else ())
+    return widened or (_drop_redundant_layers(model, hosts) if settled else ())
 
 
 def _widen_towards_slices(model: ModelSpec, hosts: Sequence[LayerHost]) -> tuple[Assignment, ...]:
-    """Let every host load layers towards an even slice of the model, beside what it holds.
+    """Let every host load layers towards an even slice of the model, besides those it holds.
 
-    A gap that is too wide for its neighbours is closed from afar: each host takes layers of the
-    next one, which can then give them up and take others nearer to the gap.
+    A gap that is too wide for its neighbours is closed in several plans: each host takes layers of
+    the next one, which can then drop them and take others closer to the gap.
     """
     ordered = sorted(hosts, key=lambda each: (each.first, each.end, each.instance))
     by_instance = {each.instance: each for each in hosts}
@@ -70,28 +70,28 @@
         host = by_instance[wanted.instance]
         low, high = wanted.first, wanted.end
         if not host.empty:
-            low, high = _extended(model, host, wanted)
+            low, high = _extended_range(model, host, wanted)
         if (low, high) != (host.first, host.end):
             assignments.append(replace(wanted, first=low, end=high))
     return tuple(assignments)
 
 
-def _extended(model: ModelSpec, host: LayerHost, wanted: Assignment) -> tuple[int, int]:
-    """Return a host's range, wider towards what is wanted as far as its memory goes."""
+def _extended_range(model: ModelSpec, host: LayerHost, wanted: Assignment) -> tuple[int, int]:
+    """Return a host's range, extended towards the wanted one as far as its memory allows."""
     low, high = host.first, host.end
-    spare = model.max_layers(host.kind, MAX_FILL) - (high - low)
-    while spare > 0 and (wanted.first < low or high < wanted.end):
+    spare_layers = model.max_layers(host.kind, MAX_FILL) - (high - low)
+    while spare_layers > 0 and (wanted.first < low or high < wanted.end):
         if high < wanted.end:
             high += 1
         else:
             low -= 1
-        spare -= 1
+        spare_layers -= 1
     return low, high
 
 
-def _make_room(model: ModelSpec, hosts: Sequence[LayerHost]) -> tuple[Assignment, ...]:
-    """Let hosts that are full give up layers that others hold too, on the side away from a gap."""
-    depth = holder_counts(model, hosts)
+def _drop_redundant_layers(model: ModelSpec, hosts: Sequence[LayerHost]) -> tuple[Assignment, ...]:
+    """Let full hosts drop layers that others hold too, on the side away from a gap."""
+    holder_count_by_layer = holder_counts(model, hosts)
     ordered = sorted(hosts, key=lambda each: (each.first, each.end, each.instance))
     by_instance = {each.instance: each for each in hosts}
     assignments = []
@@ -100,12 +100,12 @@
         low, high = host.first, host.end
         if low <= wanted.first and wanted.end <= high:
             continue
-        while low < min(wanted.first, high - 1) and depth[low] > 1:
-            depth[low] -= 1
+        while low < min(wanted.first, high - 1) and holder_count_by_layer[low] > 1:
+            holder_count_by_layer[low] -= 1
             low += 1
-        while high > max(wanted.end, low + 1) and depth[high - 1] > 1:
+        while high > max(wanted.end, low + 1) and holder_count_by_layer[high - 1] > 1:
             high -= 1
-            depth[high] -= 1
+            holder_count_by_layer[high] -= 1
         if (low, high) != (host.first, host.end):
             assignments.append(replace(wanted, first=low, end=high))
     return tuple(assignments)
--- a/features/mutants_layers.py
+++ b/features/mutants_layers.py
@@ -9,7 +9,7 @@
 
 
 def dropped_orders_are_repeated():
-    orders_module.MOST_DROPPED_ORDERS = 1_000_000
+    orders_module.MAX_DROPPED_ORDERS = 1_000_000
 
 
 def answer_timeouts_are_fixed():
--- a/features/steps/healer_steps.py
+++ b/features/steps/healer_steps.py
@@ -11,7 +11,7 @@
 
 from deckcourse.gateway.upstream import Upstream
 from deckcourse.gateway.upstreams import UpstreamTable
-from deckcourse.layers.healer import LOOK_SECONDS, OTHERS_WAIT_SECONDS, Healer
+from deckcourse.layers.healer import CHECK_INTERVAL_SECONDS, TURN_SECONDS, Healer
 from deckcourse.layers.orders import OrderResult
 from deckcourse.layers.plan_book import ClaimLost, ClaimUnanswered, PlanBook, PlanWon
 
@@ -101,7 +101,7 @@
 def ordered_soon(context, seconds):
     times = context.orderer.taken
     assert set(times) == {"a", "b"}, times
-    assert max(times.values()) <= OTHERS_WAIT_SECONDS * 2 + LOOK_SECONDS + seconds, times
+    assert max(times.values()) <= TURN_SECONDS * 2 + CHECK_INTERVAL_SECONDS + seconds, times
 
 
 @given("{count:d} processes that see the same gap, of which the first {lost:d} are lost")
