--- a/deckcourse/layers/improvements.py
+++ b/deckcourse/layers/improvements.py
@@ -1,7 +1,7 @@
-"""Improvements of a group that is whole and at rest: further copies, and more even memory.
+"""Improvements of an idle group that holds the whole model: further copies, and more even memory.
 
-`trim` and `balance` are for groups that hold a model several times; one that holds it once is made
-more even by `deckcourse.layers.leveling`.
+`trim` and `balance` are for groups that hold a model several times; a group that holds it once is
+leveled by `deckcourse.layers.leveling`.
 """
 
 from collections.abc import Sequence
@@ -12,36 +12,35 @@
 
 __all__ = ["add_copy", "balance", "relieve", "trim"]
 
-# Hosts that take layers of which nothing is missing are filled no further than this where that is
-# enough.
+# Maximum fill of hosts that load further copies of layers, where that is enough.
 IMPROVING_FILL = 0.80
-# A host fuller than this gives up layers that others hold too. While it does, it takes no other
-# order, so it is not done for less.
+# A host fuller than this drops layers that others hold too. Meanwhile it accepts no other order, so
+# the threshold is high.
 TRIM_FILL = 0.88
-# A neighbour of a host fuller than this loads layers of it as well, so that requests may go there.
+# A neighbour of a host fuller than this also loads layers of it, so that requests can run there.
 BALANCE_FILL = 0.72
-# Between neighbours whose fill differs by more than this, layers move to the emptier one.
-UNEVEN_FILL = 0.12
+# Layers move between neighbours whose fills differ by more than this.
+MIN_FILL_DIFFERENCE = 0.12
 
 
 def add_copy(
     model: ModelSpec, idle: Sequence[LayerHost], gap: tuple[int, int]
 ) -> tuple[Assignment, ...]:
-    """Share a range that lacks a copy between idle hosts; nothing where it is too much for them.
+    """Share a range that lacks a copy between idle hosts, empty if they can't hold it.
 
-    All load at the same time, so that equal shares are done first.
+    All hosts load concurrently, so equal shares finish first.
     """
     first, end = gap
     ordered = sorted(idle, key=lambda each: (-model.kind_of(each.kind).memory_mb, each.instance))
     for fill in (IMPROVING_FILL, MAX_FILL):
-        limits = [model.max_layers(each.kind, fill) for each in ordered]
-        shares = _even_shares(end - first, limits)
+        max_layers = [model.max_layers(each.kind, fill) for each in ordered]
+        shares = _even_shares(end - first, max_layers)
         if shares is not None:
-            return _dealt(ordered, shares, first, f"gap {first}-{end}")
+            return _assignments(ordered, shares, first, f"gap {first}-{end}")
     return ()
 
 
-def _dealt(
+def _assignments(
     hosts: Sequence[LayerHost], shares: Sequence[int], first: int, reason: str
 ) -> tuple[Assignment, ...]:
     assignments = []
@@ -54,75 +53,75 @@
 
 
 def _even_shares(total: int, limits: Sequence[int]) -> list[int] | None:
-    """Split a number into shares as even as their limits allow, None where it doesn't fit."""
+    """Split a number into shares as even as their limits allow, None if they don't suffice."""
     if sum(limits) < total:
         return None
     shares = [0] * len(limits)
     for _ in range(total):
-        open_ones = [index for index, limit in enumerate(limits) if shares[index] < limit]
-        shares[min(open_ones, key=lambda index: shares[index])] += 1
+        below_limit = [index for index, limit in enumerate(limits) if shares[index] < limit]
+        shares[min(below_limit, key=lambda index: shares[index])] += 1
     return shares
 
 
 def relieve(model: ModelSpec, hosts: Sequence[LayerHost]) -> tuple[Assignment, ...]:
-    """Let idle hosts take layers of the fullest ones; they are trimmed once that is loaded."""
+    """Let idle hosts load layers of the fullest ones, which drop them once they are loaded."""
     assignments = []
     fullest = sorted((each for each in hosts if not each.empty), key=lambda each: -each.fill(model))
-    for idle, full in zip((each for each in hosts if each.empty), fullest, strict=False):
-        count = model.max_layers(idle.kind, PREFERRED_FILL)
+    for idle_host, full_host in zip((each for each in hosts if each.empty), fullest, strict=False):
+        count = model.max_layers(idle_host.kind, PREFERRED_FILL)
         if count == 0:
             continue
-        low = max(0, min(full.first, model.layers - count))
-        assignments.append(Assignment(idle.instance, low, low + count, "relieves the fullest"))
+        low = max(0, min(full_host.first, model.layers - count))
+        assignments.append(Assignment(idle_host.instance, low, low + count, "relieves the fullest"))
     return tuple(assignments)
 
 
 def balance(model: ModelSpec, hosts: Sequence[LayerHost]) -> tuple[Assignment, ...]:
-    """Let an emptier neighbour load edge layers of the fullest host; they are trimmed there later.
+    """Let a less full neighbour load edge layers of the fullest host, which drops them later.
 
-    A host with little room left refuses requests, and a path is no wider than its fullest host.
+    A host with little free memory refuses requests, and the fullest host limits the whole path.
     """
-    for full in sorted(hosts, key=lambda each: -each.fill(model)):
-        if full.empty or full.fill(model) <= BALANCE_FILL:
+    for full_host in sorted(hosts, key=lambda each: -each.fill(model)):
+        if full_host.empty or full_host.fill(model) <= BALANCE_FILL:
             return ()
-        beside = [
+        neighbours = [
             each
             for each in hosts
             if not each.empty
-            and (each.first < full.first <= each.end or each.first <= full.end < each.end)
-            and full.fill(model) - each.fill(model) > UNEVEN_FILL
+            and (each.first < full_host.first <= each.end or each.first <= full_host.end < each.end)
+            and full_host.fill(model) - each.fill(model) > MIN_FILL_DIFFERENCE
         ]
-        if beside:
-            emptier = min(beside, key=lambda each: each.fill(model))
-            taking = _taking_over(model, emptier, full)
-            if (taking.first, taking.end) != (emptier.first, emptier.end):
-                return (taking,)
+        if neighbours:
+            emptier = min(neighbours, key=lambda each: each.fill(model))
+            assignment = _leveling_assignment(model, emptier, full_host)
+            if (assignment.first, assignment.end) != (emptier.first, emptier.end):
+                return (assignment,)
     return ()
 
 
-def _taking_over(model: ModelSpec, emptier: LayerHost, full: LayerHost) -> Assignment:
-    """Return the emptier host's range with as many layers of the full one as make both even."""
-    memory = [model.kind_of(each.kind).memory_mb for each in (full, emptier)]
-    both = (full.end - full.first) + (emptier.end - emptier.first)
-    keep = max(1, round(both * memory[0] / sum(memory)))
-    count = max(1, full.end - full.first - keep)
+def _leveling_assignment(model: ModelSpec, emptier: LayerHost, full_host: LayerHost) -> Assignment:
+    """Return the emptier host's range with as many layers of the full one as level both."""
+    memory = [model.kind_of(each.kind).memory_mb for each in (full_host, emptier)]
+    total_layers = (full_host.end - full_host.first) + (emptier.end - emptier.first)
+    keep = max(1, round(total_layers * memory[0] / sum(memory)))
+    count = max(1, full_host.end - full_host.first - keep)
     room = model.max_layers(emptier.kind, IMPROVING_FILL) - (emptier.end - emptier.first)
     count = max(1, min(count, room))
-    if emptier.first < full.first:
-        low, high = emptier.first, max(emptier.end, full.first + count)
+    if emptier.first < full_host.first:
+        low, high = emptier.first, max(emptier.end, full_host.first + count)
     else:
-        low, high = min(emptier.first, full.end - count), emptier.end
+        low, high = min(emptier.first, full_host.end - count), emptier.end
     return Assignment(emptier.instance, low, high, "balances")
 
 
 def trim(model: ModelSpec, hosts: Sequence[LayerHost], copies: int) -> tuple[Assignment, ...]:
-    """Take layers from one host that is too full, where enough others hold them."""
+    """Let one host that is too full drop layers that enough others hold."""
     for host in sorted(hosts, key=lambda each: -each.fill(model)):
         if host.empty or host.fill(model) <= TRIM_FILL:
             return ()
         others = [each for each in hosts if each is not host]
         needed = gaps(model, others, copies)
-        low, high = _still_needed(host, needed)
+        low, high = _needed_range(host, needed)
         keep = max(1, model.max_layers(host.kind, PREFERRED_FILL))
         low, high = host.widened(low, high, keep)
         if (low, high) != (host.first, host.end):
@@ -130,7 +129,7 @@
     return ()
 
 
-def _still_needed(host: LayerHost, needed: Sequence[tuple[int, int]]) -> tuple[int, int]:
+def _needed_range(host: LayerHost, needed: Sequence[tuple[int, int]]) -> tuple[int, int]:
     inside = [
         (max(low, host.first), min(high, host.end))
         for low, high in needed
--- a/deckcourse/layers/leveling.py
+++ b/deckcourse/layers/leveling.py
@@ -1,8 +1,8 @@
-"""Levels the memory that weights take, where a group holds a model once and is at rest.
+"""Levels the memory that weights take in an idle group that holds a model once.
 
-A path is no wider than its fullest host, and healing leaves some hosts full. The model is cut anew
-over the hosts in their order so that the fullest is as empty as can be. First the hosts load what
-they lack, then the full ones give up what is held elsewhere.
+The fullest host limits how many requests a path runs, and healing leaves some hosts full. The model
+is cut anew over the hosts in their order so that the fullest one is as empty as possible. First the
+hosts load the layers that they lack, then full hosts drop layers that are held elsewhere.
 """
 
 from collections.abc import Mapping, Sequence
@@ -13,120 +13,121 @@
 
 __all__ = ["level"]
 
-# A group whose fullest host is no fuller than this is left as it is: there is room for 40 usual
-# requests at once. While a host gives layers up, which takes as long as the longest stream there,
-# it takes no other order, and layers that are held twice carry a loss.
-LEVEL_FILL = 0.80
-# The room that the fullest host leaves must grow by this factor at least: less is not worth the
-# loads and the time in which a host takes no other order.
-LEAST_GAIN = 1.25
-# Fills are compared in steps of this: cuts as level as each other differ in what they load.
+# A group whose fullest host is at most this full is left as it is: it has memory for 40 concurrent
+# usual requests. A host that drops layers accepts no other order until the longest stream there
+# ends, and layers that are held twice help after a loss.
+MIN_LEVELING_FILL = 0.80
+# Minimum factor by which the free memory of the fullest host must grow: less is not worth the
+# loads and the time in which a host accepts no other order.
+MIN_GAIN_FACTOR = 1.25
+# Fills are compared in steps of this size: equally level cuts are compared by their loads.
 FILL_STEP = 0.02
 
 
-class _Cut(NamedTuple):
-    """The best way to reach a layer; ways are compared by the first two.
+class _PartialCut(NamedTuple):
+    """The best way to cover the model up to a layer; cuts are compared by the first two fields.
 
-    `fullest` is the fill of the fullest host so far, in steps, `loads` the layers loaded; the last
-    host runs from `first`.
+    `max_fill_steps` is the fill of the fullest host so far, in multiples of `FILL_STEP`. `loads` is
+    the number of layers to load. The last host runs the layers from `first`.
     """
 
-    fullest: int
+    max_fill_steps: int
     loads: int
     first: int
 
 
 def level(model: ModelSpec, hosts: Sequence[LayerHost]) -> tuple[Assignment, ...]:
-    """Return the next orders that make a group's hosts more evenly full, none where they are.
+    """Return the next orders that level the fill of a group's hosts, none if it is level.
 
     Args:
-      model: the model, whole and held once by the hosts.
-      hosts: everybody in the group; idle ones take no part.
+      model: the model, which the hosts hold whole and once.
+      hosts: the hosts of the group; idle ones are ignored.
     """
     ordered = sorted(
         (each for each in hosts if not each.empty),
         key=lambda each: (each.first, each.end, each.instance),
     )
-    now = max((each.fill(model) for each in ordered), default=0.0)
-    if now <= LEVEL_FILL:
+    current_fill = max((each.fill(model) for each in ordered), default=0.0)
+    if current_fill <= MIN_LEVELING_FILL:
         return ()
-    cuts = _level_cuts(model, ordered)
-    if not cuts:
+    ranges = _level_ranges(model, ordered)
+    if not ranges:
         return ()
-    best = max(
+    new_fill = max(
         (end - first) * model.layer_mb / model.kind_of(host.kind).memory_mb
-        for host, (first, end) in zip(ordered, cuts.values(), strict=True)
+        for host, (first, end) in zip(ordered, ranges.values(), strict=True)
     )
-    if _room(best) < LEAST_GAIN * _room(now):
+    if _free_memory(new_fill) < MIN_GAIN_FACTOR * _free_memory(current_fill):
         return ()
-    return _loads(ordered, cuts) or _trims(model, ordered, cuts)
+    return _load_orders(ordered, ranges) or _drop_orders(model, ordered, ranges)
 
 
-def _room(fill: float) -> float:
-    """Return the memory for requests beside weights, in parts of what the weights take."""
+def _free_memory(fill: float) -> float:
+    """Return the memory for requests beside weights, as a multiple of the weights' memory."""
     return max(0.0, 1.0 - fill) / fill
 
 
-def _level_cuts(model: ModelSpec, ordered: Sequence[LayerHost]) -> Mapping[str, tuple[int, int]]:
-    """Return the range of each host with which the fullest is emptiest, none where none fits."""
-    best: dict[int, _Cut] = {0: _Cut(0, 0, 0)}
-    trail: list[dict[int, _Cut]] = []
+def _level_ranges(model: ModelSpec, ordered: Sequence[LayerHost]) -> Mapping[str, tuple[int, int]]:
+    """Return the range of each host that minimizes the highest fill, empty if none fits."""
+    by_end: dict[int, _PartialCut] = {0: _PartialCut(0, 0, 0)}
+    by_host: list[dict[int, _PartialCut]] = []
     for host in ordered:
-        best = _cut_further(model, host, best)
-        trail.append(best)
-    if model.layers not in best:
+        by_end = _extend_cuts(model, host, by_end)
+        by_host.append(by_end)
+    if model.layers not in by_end:
         return {}
     ranges = {}
     end = model.layers
-    for host, reached in zip(reversed(ordered), reversed(trail), strict=True):
-        first = reached[end].first
+    for host, cuts in zip(reversed(ordered), reversed(by_host), strict=True):
+        first = cuts[end].first
         ranges[host.instance] = (first, end)
         end = first
     return dict(reversed(ranges.items()))
 
 
-def _cut_further(model: ModelSpec, host: LayerHost, reached: Mapping[int, _Cut]) -> dict[int, _Cut]:
+def _extend_cuts(
+    model: ModelSpec, host: LayerHost, cuts: Mapping[int, _PartialCut]
+) -> dict[int, _PartialCut]:
     """Return the best cuts after one more host."""
-    room = host.max_layers(model, MAX_FILL)
-    step = model.layer_mb / model.kind_of(host.kind).memory_mb / FILL_STEP
-    # Where it doesn't run anything it keeps what it holds.
-    found = {first: _Cut(cut.fullest, cut.loads, first) for first, cut in reached.items()}
-    for first, cut in reached.items():
-        for end in range(first + 1, min(model.layers, first + room) + 1):
+    max_layers = host.max_layers(model, MAX_FILL)
+    fill_steps_per_layer = model.layer_mb / model.kind_of(host.kind).memory_mb / FILL_STEP
+    # A host that runs no layers keeps those that it holds.
+    best = {first: _PartialCut(cut.max_fill_steps, cut.loads, first) for first, cut in cuts.items()}
+    for first, cut in cuts.items():
+        for end in range(first + 1, min(model.layers, first + max_layers) + 1):
             low, high = min(first, host.first), max(end, host.end)
-            kept = max(0, min(end, host.end) - max(first, host.first))
-            # What is held and what is new must fit together, with room for requests, and have no
-            # hole between them.
-            if high - low > room or first > host.end or end < host.first:
+            overlap = max(0, min(end, host.end) - max(first, host.first))
+            # Held and new layers must fit into memory together with requests, and be contiguous.
+            if high - low > max_layers or first > host.end or end < host.first:
                 continue
-            fullest = max(cut.fullest, round((end - first) * step))
-            candidate = _Cut(fullest, cut.loads + end - first - kept, first)
-            if end not in found or candidate[:2] < found[end][:2]:
-                found[end] = candidate
-    return found
+            max_fill_steps = max(cut.max_fill_steps, round((end - first) * fill_steps_per_layer))
+            candidate = _PartialCut(max_fill_steps, cut.loads + end - first - overlap, first)
+            if end not in best or candidate[:2] < best[end][:2]:
+                best[end] = candidate
+    return best
 
 
-def _loads(
-    ordered: Sequence[LayerHost], cuts: Mapping[str, tuple[int, int]]
+def _load_orders(
+    ordered: Sequence[LayerHost], ranges: Mapping[str, tuple[int, int]]
 ) -> tuple[Assignment, ...]:
-    """Return orders for what hosts lack of their ranges, beside what they hold."""
+    """Return orders to load the layers of their ranges that hosts lack, besides those they hold."""
     assignments = []
     for host in ordered:
-        first, end = cuts[host.instance]
+        first, end = ranges[host.instance]
         if first < end and not host.first <= first < end <= host.end:
             low, high = min(first, host.first), max(end, host.end)
             assignments.append(Assignment(host.instance, low, high, "levels"))
     return tuple(assignments)
 
 
-def _trims(
-    model: ModelSpec, ordered: Sequence[LayerHost], cuts: Mapping[str, tuple[int, int]]
+def _drop_orders(
+    model: ModelSpec, ordered: Sequence[LayerHost], ranges: Mapping[str, tuple[int, int]]
 ) -> tuple[Assignment, ...]:
-    """Return orders for full hosts to give up what they hold beside their ranges."""
+    """Return orders for full hosts to drop the layers outside their ranges."""
     assignments = []
     for host in ordered:
-        first, end = cuts[host.instance]
-        if first >= end or host.fill(model) <= LEVEL_FILL:
+        first, end = ranges[host.instance]
+        if first >= end or host.fill(model) <= MIN_LEVELING_FILL:
             continue
         keep = model.max_layers(host.kind, PREFERRED_FILL)
         first, end = host.widened(first, end, keep)
--- a/deckcourse/layers/relocation.py
+++ b/deckcourse/layers/relocation.py
@@ -1,9 +1,8 @@
-"""The search for hosts that are best taken from where they are to close a gap elsewhere.
+"""The search for hosts that are best moved from their ranges to close a gap elsewhere.
 
-A gap that is too wide for its neighbours needs memory from further away. Handing layers on from
-host to host moves most of the model; taking one or two hosts whose layers their neighbours can
-hold as well moves little. A host that is taken gives up its layers at once where old and new ones
-don't fit into its memory together.
+A gap that is too wide for its neighbours needs memory from further away. Shifting layers from host
+to host moves most of the model; moving one or two hosts whose layers their neighbours can hold too
+moves little. A moved host drops its layers at once if old and new ones don't fit into its memory.
 """
 
 from collections.abc import Mapping, Sequence
@@ -16,42 +15,42 @@
 
 __all__ = ["relocate"]
 
-# So many hosts are taken from their place at the most, and all of them only where fewer don't do:
-# each is out of service meanwhile.
-MOST_TAKEN = 3
-# Of all hosts, so many are looked at: those whose layers others hold most of.
-MOST_CANDIDATES = 8
-# What each host may load in addition to what it holds, layers: the steps of the search.
-LOAD_STEPS = (1, 2, 3, 4, 6, 8)
-# What counts as the time of a plan that doesn't make the model whole, seconds: any other is less.
+# Maximum number of hosts that are moved, and this many only if fewer don't suffice: each is out of
+# service meanwhile.
+MAX_MOVED_HOSTS = 3
+# Number of hosts considered: those with the fewest layers that no other host holds.
+MAX_CANDIDATES = 8
+# Limits tried for the layers that each staying host loads.
+LOAD_LIMITS = (1, 2, 3, 4, 6, 8)
+# The duration of a plan that doesn't make the model whole, longer than any other, seconds.
 NO_PLAN_SECONDS = float("inf")
-# Streams of other domains may pass a host that lets go at once: it counts as so much longer,
-# seconds.
-CUT_SECONDS = 0.2
-# A plan that takes no longer is good enough: no larger sets of hosts are looked at, seconds.
-QUICK_SECONDS = 0.9
+# Streams of other domains may run on a host that drops its layers at once: this penalty is added
+# to the plan's duration for each, seconds.
+CUT_PENALTY_SECONDS = 0.2
+# A plan this fast is good enough: larger sets of hosts are not tried, seconds.
+GOOD_PLAN_SECONDS = 0.9
 
 
 @dataclass(frozen=True)
 class _Plan:
-    """Assignments that make the model whole, and how long their loads take, in seconds."""
+    """Assignments that make the model whole, and the duration of their loads, seconds."""
 
     seconds: float
     assignments: tuple[Assignment, ...]
 
 
 @dataclass
-class _Widening:
-    """A host that stays, how far its range was widened, and what it may still load."""
+class _Extension:
+    """A host that stays, its extended range and the number of layers that it may still load."""
 
     host: LayerHost
     first: int
     end: int
-    spare: int
+    spare_layers: int
 
     @property
     def load(self) -> int:
-        """How many layers it must load for its new range."""
+        """The number of layers to load for the extended range."""
         return self.host.first - self.first + self.end - self.host.end
 
 
@@ -62,48 +61,48 @@
     may_cut: bool = True,
     fill: float = MAX_FILL,
 ) -> tuple[Assignment, ...]:
-    """Return the quickest plan that makes a model whole by taking some hosts elsewhere.
+    """Return the fastest plan that makes a model whole by moving some hosts.
 
     Args:
       model: the model to make whole.
-      hosts: everybody in the group.
-      pending: who takes no order now.
-      may_cut: whether streams may be cut for it.
-      fill: the part of a host's memory that it may be filled to; a fuller one stays so.
+      hosts: all hosts of the group.
+      pending: the hosts that accept no order now.
+      may_cut: whether running streams may be interrupted.
+      fill: the maximum fill of a host, unless it is already fuller.
 
     Returns:
-      The assignments, none where no such plan makes the model whole.
+      The assignments, none if no such plan makes the model whole.
     """
     best = _Plan(NO_PLAN_SECONDS, ())
     candidates = _candidates(model, hosts, pending)
-    for count in range(MOST_TAKEN + 1):
-        if best.assignments and (best.seconds <= QUICK_SECONDS or count == MOST_TAKEN):
+    for count in range(MAX_MOVED_HOSTS + 1):
+        if best.assignments and (best.seconds <= GOOD_PLAN_SECONDS or count == MAX_MOVED_HOSTS):
             break
-        for taken in combinations(candidates, count):
-            plan = _quickest(model, hosts, pending, taken, fill)
+        for moved in combinations(candidates, count):
+            plan = _fastest_plan(model, hosts, pending, moved, fill)
             if may_cut or not any(each.at_once for each in plan.assignments):
                 best = min(best, plan, key=lambda each: each.seconds)
     return best.assignments
 
 
-def _quickest(
+def _fastest_plan(
     model: ModelSpec,
     hosts: Sequence[LayerHost],
     pending: Mapping[str, tuple[int, int]],
-    taken: Sequence[LayerHost],
+    moved: Sequence[LayerHost],
     fill: float,
 ) -> _Plan:
-    """Return the quickest plan that takes the given hosts from their places."""
-    staying = [each for each in hosts if not each.empty and each not in taken]
-    free = [*taken, *(each for each in hosts if each.empty and each.instance not in pending)]
+    """Return the fastest plan that moves the given hosts."""
+    staying = [each for each in hosts if not each.empty and each not in moved]
+    free_hosts = [*moved, *(each for each in hosts if each.empty and each.instance not in pending)]
     best = _Plan(NO_PLAN_SECONDS, ())
-    for most in LOAD_STEPS:
-        widened, missing = _widen(model, staying, pending, most, fill)
-        placed = _fill(model, missing, free, fill)
-        if placed is None:
+    for max_load in LOAD_LIMITS:
+        extended, uncovered = _extend_hosts(model, staying, pending, max_load, fill)
+        moves = _assign_to_ranges(model, uncovered, free_hosts, fill)
+        if moves is None:
             continue
-        assignments = (*_assignments(widened), *placed)
-        plan = _Plan(_seconds(model, hosts, assignments), assignments)
+        assignments = (*_assignments(extended), *moves)
+        plan = _Plan(_plan_seconds(model, hosts, assignments), assignments)
         if plan.seconds >= best.seconds:
             break
         best = plan
@@ -113,146 +112,153 @@
 def _candidates(
     model: ModelSpec, hosts: Sequence[LayerHost], pending: Mapping[str, tuple[int, int]]
 ) -> list[LayerHost]:
-    """Return the hosts that may be taken, those first whose layers others hold most of."""
-    depth = holder_counts(model, hosts)
-    may_go = [each for each in hosts if not each.empty and each.instance not in pending]
-    alone = {
-        each.instance: sum(depth[layer] == 1 for layer in range(each.first, each.end))
-        for each in may_go
+    """Return the hosts that may be moved, those with the fewest layers of their own first."""
+    holder_count_by_layer = holder_counts(model, hosts)
+    movable = [each for each in hosts if not each.empty and each.instance not in pending]
+    sole_layers = {
+        each.instance: sum(
+            holder_count_by_layer[layer] == 1 for layer in range(each.first, each.end)
+        )
+        for each in movable
     }
-    ordered = sorted(may_go, key=lambda each: (alone[each.instance], each.instance))
-    return ordered[:MOST_CANDIDATES]
+    ordered = sorted(movable, key=lambda each: (sole_layers[each.instance], each.instance))
+    return ordered[:MAX_CANDIDATES]
 
 
-def _widen(
+def _extend_hosts(
     model: ModelSpec,
     staying: Sequence[LayerHost],
     pending: Mapping[str, tuple[int, int]],
-    most: int,
+    max_load: int,
     fill: float,
-) -> tuple[list[_Widening], list[tuple[int, int]]]:
-    """Widen the ranges of the hosts that stay, from the first layer on, by up to `most` layers.
+) -> tuple[list[_Extension], list[tuple[int, int]]]:
+    """Extend the ranges of the staying hosts, from the first layer on, by up to `max_load` layers.
 
     Returns:
-      The hosts with their new ranges, and the ranges that nobody holds then.
+      The hosts with their extended ranges, and the ranges that no host holds then.
     """
-    widened: list[_Widening] = []
-    missing: list[tuple[int, int]] = []
-    furthest: _Widening | None = None
+    extended: list[_Extension] = []
+    uncovered: list[tuple[int, int]] = []
+    furthest: _Extension | None = None
     reached = 0
     for host in sorted(staying, key=lambda each: (each.first, each.end, each.instance)):
-        room = model.max_layers(host.kind, fill) - (host.end - host.first)
-        spare = 0 if host.instance in pending else max(0, min(most, room))
-        current = _Widening(host, host.first, host.end, spare)
+        spare_memory_layers = model.max_layers(host.kind, fill) - (host.end - host.first)
+        spare_layers = 0 if host.instance in pending else max(0, min(max_load, spare_memory_layers))
+        current = _Extension(host, host.first, host.end, spare_layers)
         if host.first > reached:
-            reached = _close_up(furthest, current, reached)
+            reached = _close_gap(furthest, current, reached)
             if reached < current.first:
-                missing.append((reached, current.first))
+                uncovered.append((reached, current.first))
             reached = current.first
-        widened.append(current)
+        extended.append(current)
         reached = max(reached, current.end)
-        if furthest is None or current.end + current.spare > furthest.end + furthest.spare:
+        if (
+            furthest is None
+            or current.end + current.spare_layers > furthest.end + furthest.spare_layers
+        ):
             furthest = current
     if furthest is not None:
-        reached = _stretch(furthest, model.layers, reached)
+        reached = _extend_right(furthest, model.layers, reached)
     if reached < model.layers:
-        missing.append((reached, model.layers))
-    return widened, missing
+        uncovered.append((reached, model.layers))
+    return extended, uncovered
 
 
-def _close_up(before: _Widening | None, after: _Widening, reached: int) -> int:
-    """Widen a host to the left towards a layer, then the one before it to the right.
+def _close_gap(previous: _Extension | None, following: _Extension, reached: int) -> int:
+    """Extend a host to the left towards a layer, then the previous one to the right.
 
     Returns:
-      Up to where the model is held then without the layers of `after`.
+      The layer up to which the model is held then, without the layers of `following`.
     """
-    left = min(after.spare, after.first - reached)
-    after.first -= left
-    after.spare -= left
-    return reached if before is None else _stretch(before, after.first, reached)
+    count = min(following.spare_layers, following.first - reached)
+    following.first -= count
+    following.spare_layers -= count
+    return reached if previous is None else _extend_right(previous, following.first, reached)
 
 
-def _stretch(host: _Widening, wanted: int, reached: int) -> int:
-    """Widen a host to the right towards a layer; return up to where the model is held then."""
-    end = min(wanted, host.end + host.spare)
+def _extend_right(host: _Extension, target: int, reached: int) -> int:
+    """Extend a host to the right towards a layer; return up to where the model is held then."""
+    end = min(target, host.end + host.spare_layers)
     if end <= reached:
         return reached
-    host.spare -= end - host.end
+    host.spare_layers -= end - host.end
     host.end = end
     return end
 
 
-def _fill(
+def _assign_to_ranges(
     model: ModelSpec,
-    missing: Sequence[tuple[int, int]],
-    free: Sequence[LayerHost],
+    uncovered: Sequence[tuple[int, int]],
+    free_hosts: Sequence[LayerHost],
     fill: float,
 ) -> list[Assignment] | None:
-    """Place free hosts into the ranges that nobody holds, None where they are too few."""
-    waiting = sorted(
-        free, key=lambda each: (not each.empty, -model.max_layers(each.kind), each.instance)
+    """Assign free hosts to the ranges that no host holds, None if there are too few."""
+    available = sorted(
+        free_hosts, key=lambda each: (not each.empty, -model.max_layers(each.kind), each.instance)
     )
-    placed: list[Assignment] = []
-    for first, end in sorted(missing, key=lambda each: each[0] - each[1]):
-        team = _team(model, waiting, end - first, fill)
-        if team is None:
+    assignments: list[Assignment] = []
+    for first, end in sorted(uncovered, key=lambda each: each[0] - each[1]):
+        selected = _select_hosts(model, available, end - first, fill)
+        if selected is None:
             return None
-        placed += _side_by_side(model, team, first, end, fill)
-    return placed
+        assignments += _share_range(model, selected, first, end, fill)
+    return assignments
 
 
-def _team(
-    model: ModelSpec, waiting: list[LayerHost], layers: int, fill: float
+def _select_hosts(
+    model: ModelSpec, available: list[LayerHost], layers: int, fill: float
 ) -> list[LayerHost] | None:
-    """Take as many hosts from the head of `waiting` as hold so many layers, None if all don't."""
-    team: list[LayerHost] = []
+    """Remove from `available` as many hosts as hold the layers, None if all of them don't."""
+    selected: list[LayerHost] = []
     room = 0
     while room < layers:
-        if not waiting:
+        if not available:
             return None
-        team.append(waiting.pop(0))
-        room += model.max_layers(team[-1].kind, fill)
-    return team
+        selected.append(available.pop(0))
+        room += model.max_layers(selected[-1].kind, fill)
+    return selected
 
 
-def _side_by_side(
-    model: ModelSpec, team: Sequence[LayerHost], first: int, end: int, fill: float
+def _share_range(
+    model: ModelSpec, selected: Sequence[LayerHost], first: int, end: int, fill: float
 ) -> list[Assignment]:
     """Share a range between hosts as evenly as their memory allows."""
-    placed = []
-    at = first
-    for index, host in enumerate(team):
-        limit = model.max_layers(host.kind, fill)
-        after = sum(model.max_layers(each.kind, fill) for each in team[index + 1 :])
-        even = -(-(end - at) // (len(team) - index))
-        count = min(limit, max(even, end - at - after))
-        # What it holds goes at once where both don't fit into its memory together.
+    assignments = []
+    start = first
+    for index, host in enumerate(selected):
+        max_layers = model.max_layers(host.kind, fill)
+        following_layers = sum(model.max_layers(each.kind, fill) for each in selected[index + 1 :])
+        even_share = -(-(end - start) // (len(selected) - index))
+        count = min(max_layers, max(even_share, end - start - following_layers))
+        # Drop its layers at once if old and new ones don't fit into its memory together.
         at_once = host.end - host.first + count > model.max_layers(host.kind)
         reason = f"moves to {first}-{end}"
-        placed.append(Assignment(host.instance, at, at + count, reason, at_once))
-        at += count
-    return placed
+        assignments.append(Assignment(host.instance, start, start + count, reason, at_once))
+        start += count
+    return assignments
 
 
-def _assignments(widened: Sequence[_Widening]) -> list[Assignment]:
+def _assignments(extended: Sequence[_Extension]) -> list[Assignment]:
     return [
         Assignment(each.host.instance, each.first, each.end, "widens for a host that moves")
-        for each in widened
+        for each in extended
         if each.load
     ]
 
 
-def _seconds(model: ModelSpec, hosts: Sequence[LayerHost], plan: Sequence[Assignment]) -> float:
-    """Return how long a plan takes, and what it costs beside that, counted as time.
+def _plan_seconds(
+    model: ModelSpec, hosts: Sequence[LayerHost], plan: Sequence[Assignment]
+) -> float:
+    """Return the duration of a plan, with penalties for interrupted streams, seconds.
 
-    All loads run together; too many of them slow each other.
+    All loads run concurrently; too many of them slow each other down.
     """
     held = {each.instance: each for each in hosts}
-    largest = 0
+    max_load_layers = 0
     for each in plan:
         host = held[each.instance]
-        kept = max(0, min(each.end, host.end) - max(each.first, host.first))
-        largest = max(largest, each.end - each.first - kept)
-    slower = max(1.0, len(plan) / max(1, model.parallel_loads))
-    cut = CUT_SECONDS * sum(each.at_once for each in plan)
-    return largest * slower * model.load_seconds / model.layers + cut
+        overlap = max(0, min(each.end, host.end) - max(each.first, host.first))
+        max_load_layers = max(max_load_layers, each.end - each.first - overlap)
+    slowdown = max(1.0, len(plan) / max(1, model.parallel_loads))
+    cut_seconds = CUT_PENALTY_SECONDS * sum(each.at_once for each in plan)
+    return max_load_layers * slowdown * model.load_seconds / model.layers + cut_seconds
--- a/deckcourse/layers/slices.py
+++ b/deckcourse/layers/slices.py
@@ -1,4 +1,4 @@
-"""Slices of a model in proportion to what its hosts can bear."""
+"""Slices of a model in proportion to the memory and speed of its hosts."""
 
 from collections.abc import Sequence
 
@@ -9,10 +9,10 @@
 
 
 def slice_model(model: ModelSpec, hosts: Sequence[LayerHost], reason: str) -> list[Assignment]:
-    """Cut a model into one slice for each host, in proportion to memory, in the hosts' order.
+    """Cut a model into one slice for each host, in the hosts' order and in proportion to memory.
 
     Returns:
-      The slices, none where the hosts can't hold the model.
+      The slices, none if the hosts can't hold the model.
     """
     assignments = []
     at = 0
@@ -26,30 +26,32 @@
 def slice_sizes(
     model: ModelSpec, kinds: Sequence[str], speed_power: float = 0.0, fill: float = MAX_FILL
 ) -> list[int]:
-    """Return how many layers each of several hosts in a row should hold.
+    """Return the number of layers that each of several successive hosts should hold.
 
     Args:
       model: the model.
-      kinds: the hosts' kinds, in their order.
+      kinds: the hosts' kinds, in order.
       speed_power: slices are in proportion to memory times speed to this power.
-      fill: the part of a host's memory that its slice takes at the most.
+      fill: the maximum share of a host's memory that its slice takes.
 
     Returns:
-      The sizes, which sum up to the model; none where it doesn't fit.
+      The sizes, whose sum is the model's number of layers; none if it doesn't fit.
     """
-    weight_of = {each: _weight(model, each, speed_power) for each in set(kinds)}
-    room_of = {each: model.max_layers(each, fill) for each in weight_of}
-    weight_after = sum(weight_of[each] for each in kinds)
-    room_after = sum(room_of[each] for each in kinds)
-    if room_after < model.layers:
+    weights = {each: _weight(model, each, speed_power) for each in set(kinds)}
+    limits = {each: model.max_layers(each, fill) for each in weights}
+    remaining_weight = sum(weights[each] for each in kinds)
+    remaining_limit = sum(limits[each] for each in kinds)
+    if remaining_limit < model.layers:
         return []
     sizes = []
     remaining = model.layers
     for kind in kinds:
-        weight, room = weight_of[kind], room_of[kind]
-        room_after -= room
-        size = min(max(round(remaining * weight / weight_after), remaining - room_after), room)
-        weight_after -= weight
+        weight, limit = weights[kind], limits[kind]
+        remaining_limit -= limit
+        size = min(
+            max(round(remaining * weight / remaining_weight), remaining - remaining_limit), limit
+        )
+        remaining_weight -= weight
         sizes.append(min(size, remaining))
         remaining -= sizes[-1]
     return sizes if remaining == 0 else []
