--- a/deckcourse/layers/paths.py
+++ b/deckcourse/layers/paths.py
@@ -1,7 +1,7 @@
 """Paths over layers: for one request, which upstream runs which layers, in order.
 
-Upstreams may overlap, and a path may use any part of what one holds. The cheapest path is found
-from the last layer backwards; its cost is the time that a usual request takes on it.
+Hosts may overlap, and a path may use any part of the layers that a host holds. The cheapest path is
+found from the last layer backwards; its cost is the time of a usual request on it.
 """
 
 from bisect import bisect_left, bisect_right
@@ -17,20 +17,20 @@
 
 __all__ = ["LayerPath", "PathFinder", "PathPart"]
 
-# A pipe between failure domains is shared by all requests that cross it, and full at some 27 of
-# them a second (trials): a path crosses only where none stays inside, and then as seldom as it
-# can. Milliseconds of a usual request.
+# Cost of crossing between failure domains, milliseconds of a usual request. All requests that cross
+# a link share it, and some 27 of them a second fill it (trials): a path crosses only if none stays
+# inside a domain, and then as rarely as possible.
 CROSSING_MS = 5_000.0
-# The same for memory: an upstream whose weights leave little room for requests counts as slower,
-# by up to this factor, so that requests use another one that holds the same layers.
-FULL_WEIGHT = 3.0
-# An engine accepts no more parts than this in one path.
-MOST_PARTS = 32
+# Cost factor of an upstream by how far its fill exceeds `PREFERRED_FILL`: requests prefer another
+# upstream that holds the same layers and has more memory for them.
+FILL_PENALTY = 3.0
+# Maximum number of stages that an engine accepts in one path.
+MAX_STAGES = 32
 
 
 @dataclass(frozen=True)
 class PathPart:
-    """One upstream and the layers `first` up to `end` that it runs."""
+    """A stage: one upstream and the layers `first` to `end` (exclusive) that it runs."""
 
     instance: str
     address: str
@@ -40,9 +40,9 @@
 
 @dataclass(frozen=True)
 class LayerPath:
-    """A request's way through every layer once; `cost` in milliseconds of a usual request.
+    """A request's path, on which each layer runs once; `cost` in milliseconds of a usual request.
 
-    `crossings` counts how often it goes from one failure domain to another.
+    `crossings` is the number of times that it changes the failure domain.
     """
 
     parts: tuple[PathPart, ...]
@@ -56,33 +56,33 @@
         return frozenset(each.instance for each in self.parts)
 
 
-class _Step(NamedTuple):
-    """The best way on from one layer; of ways that cost as much the first host's counts.
+class _Continuation(NamedTuple):
+    """The cheapest continuation from a layer; of equally cheap ones that with the first host.
 
-    `cost` is that of all the rest, `place` the host's in the order of hosts; it runs up to `end`.
-    A tuple, since there are thousands of them in one search.
+    `cost` is that of all remaining layers, `position` the host's index among the hosts; it runs the
+    layers up to `end`. A tuple, since one search creates thousands of them.
     """
 
     cost: float
-    place: int
+    position: int
     end: int
     host: LayerHost
 
 
-class _Member(NamedTuple):
-    """A host that may take over at a cut, and its place in the order of hosts."""
+class _Candidate(NamedTuple):
+    """A host that a path may change to at a cut, and its index among the hosts."""
 
     host: LayerHost
-    place: int
+    position: int
 
 
 class PathFinder:
     """The cheapest paths over one set of hosts.
 
     Args:
-      model: whose layers a path runs.
-      hosts: who holds them; unusable and empty ones are passed over.
-      extra_cuts: layers at which a path may change hosts, besides where the hosts' ranges end.
+      model: the model whose layers a path runs.
+      hosts: the hosts; unusable and empty ones are ignored.
+      extra_cuts: layers at which a path may change hosts, in addition to the ends of host ranges.
     """
 
     def __init__(
@@ -90,40 +90,42 @@
     ) -> None:
         self._model = model
         self._hosts = [each for each in hosts if each.usable and not each.empty]
-        self._usual_ms = {each.instance: self._layer_time(each) * each.pace for each in self._hosts}
-        self._layer_ms: Mapping[str, float] = self._usual_ms
-        ends = {point for each in self._hosts for point in (each.first, each.end)}
+        self._unslowed_layer_ms = {
+            each.instance: self._layer_ms_of(each) * each.pace for each in self._hosts
+        }
+        self._layer_ms: Mapping[str, float] = self._unslowed_layer_ms
+        ends = {cut for each in self._hosts for cut in (each.first, each.end)}
         self._cuts = sorted(
-            point for point in ends | {0, model.layers, *extra_cuts} if 0 <= point <= model.layers
+            cut for cut in ends | {0, model.layers, *extra_cuts} if 0 <= cut <= model.layers
         )
         self._domains = {each.domain for each in self._hosts}
-        self._covering = self._find_covering()
-        self._onward: dict[tuple[int, str], _Step] = {}
-        self._solve()
+        self._candidates = self._find_candidates()
+        self._continuations: dict[tuple[int, str], _Continuation] = {}
+        self._find_continuations()
 
     def slowed(self, factors: Mapping[str, float]) -> "PathFinder":
-        """Return the finder over the same hosts where some count as slower.
+        """Return a finder over the same hosts in which some count as slower.
 
         Args:
-          factors: how many times slower a host counts than its pace says, by instance.
+          factors: by instance, a factor by which a host is slower in addition to its pace.
         """
         finder = copy(self)
         finder._layer_ms = {
-            name: each * factors.get(name, 1.0) for name, each in self._usual_ms.items()
+            name: each * factors.get(name, 1.0) for name, each in self._unslowed_layer_ms.items()
         }
-        finder._onward = {}
-        finder._solve()
+        finder._continuations = {}
+        finder._find_continuations()
         return finder
 
-    def _layer_time(self, host: LayerHost) -> float:
+    def _layer_ms_of(self, host: LayerHost) -> float:
         model = self._model
         kind = model.kind_of(host.kind)
         prompt = model.usual_prompt / model.prefill_per_ms * kind.prefill_factor
         answer = model.usual_answer * model.step_ms * kind.step_factor
         fullness = max(0.0, host.fill(model) - PREFERRED_FILL)
-        return (prompt + answer) / model.layers * (1.0 + FULL_WEIGHT * fullness)
+        return (prompt + answer) / model.layers * (1.0 + FILL_PENALTY * fullness)
 
-    def _crossing(self, domain: str, other: str) -> float:
+    def _hop_cost(self, domain: str, other: str) -> float:
         hop = HOP_MS * self._model.usual_answer
         if domain == other:
             return hop
@@ -131,125 +133,138 @@
             hop + CROSSING_MS + self._model.delay(domain, other) * 1000 * self._model.usual_answer
         )
 
-    def _find_covering(self) -> dict[int, dict[str, list[_Member]]]:
-        """Return who may take over at each cut, by domain, those that reach furthest first."""
-        covering: dict[int, dict[str, list[_Member]]] = {
+    def _find_candidates(self) -> dict[int, dict[str, list[_Candidate]]]:
+        """Return the hosts that hold each cut, by domain, those with the highest end first."""
+        candidates: dict[int, dict[str, list[_Candidate]]] = {
             cut: defaultdict(list) for cut in self._cuts
         }
-        for place, host in enumerate(self._hosts):
-            reach = slice(bisect_left(self._cuts, host.first), bisect_left(self._cuts, host.end))
-            for cut in self._cuts[reach]:
-                covering[cut][host.domain].append(_Member(host, place))
-        for by_domain in covering.values():
-            for members in by_domain.values():
-                members.sort(key=lambda each: (-each.host.end, each.place))
-        return covering
-
-    def _solve(self) -> None:
-        """Find the best way on from each cut to each domain, from the last cut to the first.
-
-        Cuts at which nobody who goes on reaches the end have none.
+        for position, host in enumerate(self._hosts):
+            covered_cuts = slice(
+                bisect_left(self._cuts, host.first), bisect_left(self._cuts, host.end)
+            )
+            for cut in self._cuts[covered_cuts]:
+                candidates[cut][host.domain].append(_Candidate(host, position))
+        for by_domain in candidates.values():
+            for domain_candidates in by_domain.values():
+                domain_candidates.sort(key=lambda each: (-each.host.end, each.position))
+        return candidates
+
+    def _find_continuations(self) -> None:
+        """Find the cheapest continuation from each cut and domain, from the last cut to the first.
+
+        Cuts from which no path reaches the last layer have none.
         """
         for cut in reversed(self._cuts[1:-1]):
-            found = (self._best_step(members, cut) for members in self._covering[cut].values())
-            steps = [each for each in found if each is not None]
-            for domain in self._domains if steps else ():
-                self._onward[cut, domain] = min(
-                    each._replace(cost=each.cost + self._crossing(domain, each.host.domain))
-                    for each in steps
+            best_by_domain = (
+                self._best_continuation(candidates, cut)
+                for candidates in self._candidates[cut].values()
+            )
+            continuations = [each for each in best_by_domain if each is not None]
+            for domain in self._domains if continuations else ():
+                self._continuations[cut, domain] = min(
+                    each._replace(cost=each.cost + self._hop_cost(domain, each.host.domain))
+                    for each in continuations
                 )
 
-    def _best_step(self, members: Sequence[_Member], cut: int) -> _Step | None:
-        """Return the best way on from a cut by one of some hosts of one domain.
+    def _best_continuation(
+        self, candidates: Sequence[_Candidate], cut: int
+    ) -> _Continuation | None:
+        """Return the cheapest continuation from a cut over some hosts of one domain.
 
-        Of those that reach an end the fastest is best for it, so that each host is looked at once.
+        For each end the fastest host that reaches it is best, so each host is visited once.
 
         Args:
-          members: the hosts, those that reach furthest first.
-          cut: from where.
+          candidates: the hosts, those with the highest end first.
+          cut: the layer at which the continuation starts.
         """
         best = None
         fastest = None
-        domain = members[0].host.domain
-        waiting = iter(members)
-        following = next(waiting, None)
-        lowest = bisect_right(self._cuts, cut)
-        highest = bisect_right(self._cuts, members[0].host.end)
-        for end in reversed(self._cuts[lowest:highest]):
-            while following is not None and following.host.end >= end:
-                ms = self._layer_ms[following.host.instance]
-                if fastest is None or (ms, following.place) < fastest[:2]:
-                    fastest = ms, following.place, following.host
-                following = next(waiting, None)
-            onward = self._rest(end, domain)
-            if fastest is None or onward is None:
+        domain = candidates[0].host.domain
+        remaining = iter(candidates)
+        next_candidate = next(remaining, None)
+        first_index = bisect_right(self._cuts, cut)
+        end_index = bisect_right(self._cuts, candidates[0].host.end)
+        for end in reversed(self._cuts[first_index:end_index]):
+            while next_candidate is not None and next_candidate.host.end >= end:
+                layer_ms = self._layer_ms[next_candidate.host.instance]
+                if fastest is None or (layer_ms, next_candidate.position) < fastest[:2]:
+                    fastest = layer_ms, next_candidate.position, next_candidate.host
+                next_candidate = next(remaining, None)
+            remaining_cost = self._remaining_cost(end, domain)
+            if fastest is None or remaining_cost is None:
                 continue
-            ms, place, host = fastest
-            step = _Step((end - cut) * ms + onward, place, end, host)
-            if best is None or step[:3] < best[:3]:
-                best = step
+            layer_ms, position, host = fastest
+            continuation = _Continuation(
+                (end - cut) * layer_ms + remaining_cost, position, end, host
+            )
+            if best is None or continuation[:3] < best[:3]:
+                best = continuation
         return best
 
-    def _rest(self, cut: int, domain: str) -> float | None:
-        """Return what all layers from a cut on cost from a domain, None where nobody holds them."""
+    def _remaining_cost(self, cut: int, domain: str) -> float | None:
+        """Return the cost of all layers from a cut on, None if no path covers them."""
         if cut >= self._model.layers:
             return 0.0
-        onward = self._onward.get((cut, domain))
-        return None if onward is None else onward.cost
+        continuation = self._continuations.get((cut, domain))
+        return None if continuation is None else continuation.cost
 
     def starts(self) -> list[LayerPath]:
-        """Return the best path from each host that can be the first of one, cheapest first."""
-        firsts = [each for members in self._covering[0].values() for each in members]
-        paths = [self.start(each.host) for each in sorted(firsts, key=lambda each: each.place)]
+        """Return the best path from each host that can be a first stage, cheapest first."""
+        candidates = [each for members in self._candidates[0].values() for each in members]
+        paths = [
+            self.start(each.host) for each in sorted(candidates, key=lambda each: each.position)
+        ]
         return sorted((each for each in paths if each is not None), key=lambda each: each.cost)
 
     def start(self, host: LayerHost) -> LayerPath | None:
-        """Return the best path from a host that holds the first layers, None without one."""
-        step = self._best_step([_Member(host, 0)], 0)
-        return None if step is None else self._follow(step, ())
+        """Return the best path from a host that holds the first layers, None if there is none."""
+        continuation = self._best_continuation([_Candidate(host, 0)], 0)
+        return None if continuation is None else self._build_path(continuation, ())
 
     def cost(self, parts: Sequence[PathPart]) -> float:
-        """Return what a path over known hosts of one failure domain costs."""
-        running = sum((each.end - each.first) * self._layer_ms[each.instance] for each in parts)
-        return running + (len(parts) - 1) * HOP_MS * self._model.usual_answer
+        """Return the cost of a path over known hosts of one failure domain."""
+        execution_cost = sum(
+            (each.end - each.first) * self._layer_ms[each.instance] for each in parts
+        )
+        return execution_cost + (len(parts) - 1) * HOP_MS * self._model.usual_answer
 
     def onward(self, first: PathPart, domain: str) -> LayerPath | None:
-        """Return the best path whose first part is given, None where there is none."""
+        """Return the best path with a given first stage, None if there is none."""
         if first.end >= self._model.layers:
             return LayerPath((first,), domain, 0.0)
-        step = self._onward.get((first.end, domain))
-        return None if step is None else self._follow(step, (first,), domain)
+        continuation = self._continuations.get((first.end, domain))
+        return None if continuation is None else self._build_path(continuation, (first,), domain)
 
-    def _follow(
-        self, step: _Step, before: tuple[PathPart, ...], domain: str = ""
+    def _build_path(
+        self, continuation: _Continuation, stages_before: tuple[PathPart, ...], domain: str = ""
     ) -> LayerPath | None:
-        parts = list(before)
-        cost = step.cost
-        domain = last_domain = domain or step.host.domain
+        stages = list(stages_before)
+        cost = continuation.cost
+        domain = last_domain = domain or continuation.host.domain
         crossings = 0
-        at = parts[-1].end if parts else 0
+        start = stages[-1].end if stages else 0
         while True:
-            host = step.host
+            host = continuation.host
             crossings += host.domain != last_domain
             last_domain = host.domain
-            _append(parts, PathPart(host.instance, host.address, at, step.end))
-            if step.end >= self._model.layers:
+            _append_stage(stages, PathPart(host.instance, host.address, start, continuation.end))
+            if continuation.end >= self._model.layers:
                 break
-            at = step.end
-            step = self._onward[at, host.domain]
-        if len(parts) > MOST_PARTS:
+            start = continuation.end
+            continuation = self._continuations[start, host.domain]
+        if len(stages) > MAX_STAGES:
             return None
-        return LayerPath(tuple(parts), domain, cost, crossings)
+        return LayerPath(tuple(stages), domain, cost, crossings)
 
 
-def _append(parts: list[PathPart], part: PathPart) -> None:
-    """Add a part; a path that comes back to a host lets that host run what lies between as well.
+def _append_stage(stages: list[PathPart], stage: PathPart) -> None:
+    """Append a stage; a path that returns to a host lets it run the layers in between as well.
 
-    An engine takes no path that names an upstream twice, and what a host holds has no gap.
+    An engine rejects a path that names an upstream twice, and a host's range has no gaps.
     """
-    for index, known in enumerate(parts):
-        if known.instance == part.instance:
-            del parts[index:]
-            part = PathPart(known.instance, known.address, known.first, part.end)
+    for index, earlier in enumerate(stages):
+        if earlier.instance == stage.instance:
+            del stages[index:]
+            stage = PathPart(earlier.instance, earlier.address, earlier.first, stage.end)
             break
-    parts.append(part)
+    stages.append(stage)
