--- a/features/busy_upstreams.feature
+++ b/features/busy_upstreams.feature
@@ -1,8 +1,8 @@
-Feature: Reachable upstreams are not taken for lost when all answers are late
+Feature: Reachable upstreams are not suspected while all answers are late
 
   # Guards against moving streams and layers away from upstreams that are overloaded but reachable.
   Scenario Outline: The second upstream <change> while control calls are answered after <delay> s
-    Given two chains of runners that answer questions and orders after <delay> seconds
+    Given two chains of runners that answer queries and orders after <delay> seconds
     And a stream that has run for 3 seconds
     When the second upstream of the path <change>
     Then the caller got every event once, with no pause over <pause> seconds
--- a/features/healer_standins.py
+++ b/features/healer_standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins of what a healer works with: a table that answers late, upstreams that take orders."""
+"""Stand-ins for the collaborators of a healer: tables, and upstreams that accept orders."""
 
 import trio
 from returns.result import Failure
@@ -8,7 +8,7 @@
 
 
 class SlowTable(MemoryTable):
-    """A table whose transactions are answered late, or done and not answered."""
+    """A table whose transactions are answered late, or executed without an answer."""
 
     def __init__(self, seconds=0.0, lost=False):
         super().__init__()
@@ -21,8 +21,8 @@
         return Failure(TableFailure.UNKNOWN) if self.lost else result
 
 
-class ToldTable(MemoryTable):
-    """A table whose rows are told to every healer a little later; counts claims."""
+class NotifyingTable(MemoryTable):
+    """A table that notifies every healer of rows after a delay, and counts claims."""
 
     def __init__(self, seconds):
         super().__init__()
@@ -34,10 +34,10 @@
     async def transact(self, writes):
         self.claims += 1
         result = await super().transact(writes)
-        self.nursery.start_soon(self.tell, writes[0].key)
+        self.nursery.start_soon(self.notify, writes[0].key)
         return result
 
-    async def tell(self, key):
+    async def notify(self, key):
         await trio.sleep(self.seconds)
         for book, healer, model in self.listeners:
             record = book.note(self._rows[key])
@@ -46,7 +46,7 @@
 
 
 class CountingOrderer:
-    """Answers every order alike, and counts them."""
+    """Answers every order with the same result, and counts them."""
 
     def __init__(self, result):
         self.result = result
@@ -63,27 +63,27 @@
         return LayerReport(1)
 
 
-class DeafOrderer(CountingOrderer):
-    """Answers none of the first orders to each upstream."""
+class SilentOrderer(CountingOrderer):
+    """Leaves the first orders to each upstream unanswered."""
 
-    def __init__(self, deaf):
+    def __init__(self, unanswered):
         super().__init__(OrderResult.TAKEN)
-        self.deaf = deaf
-        self.tries = {}
-        self.taken = {}
+        self.unanswered = unanswered
+        self.attempts = {}
+        self.accepted_at = {}
 
     async def place(self, upstream, assignment, orders):
-        self.tries[upstream.instance] = self.tries.get(upstream.instance, 0) + 1
-        if self.tries[upstream.instance] <= self.deaf:
+        self.attempts[upstream.instance] = self.attempts.get(upstream.instance, 0) + 1
+        if self.attempts[upstream.instance] <= self.unanswered:
             return OrderResult.UNANSWERED
-        self.taken.setdefault(upstream.instance, trio.current_time())
+        self.accepted_at.setdefault(upstream.instance, trio.current_time())
         return self.result
 
 
 class SimulatedUpstreams:
     """In-memory upstreams that count orders and hold layers.
 
-    An order conflicts if it doesn't name the current order count or if another one is under way.
+    An order conflicts if it doesn't name the current order count or if another one is in progress.
     `on_range_changed` is called with an upstream's range after an order; `over_capacity` lists the
     orders that exceed an upstream's memory, each with the range held before.
     """
--- a/features/layer_world.py
+++ b/features/layer_world.py
@@ -1,4 +1,4 @@
-"""Models, hosts and plans that the steps about layers share."""
+"""Models, hosts and plans shared by the steps about layers."""
 
 from dataclasses import replace
 
@@ -24,7 +24,7 @@
 
 
 def model_of(layers, layer_mb, requests=10_000):
-    """Return a model; memory bounds what a path takes, unless fewer `requests` may begin at one."""
+    """Return a model; memory limits the streams of a path unless `requests` is lower."""
     return ModelSpec(
         "m",
         layers,
@@ -39,12 +39,12 @@
 
 def ranges(text):
     """Return {name: (first, end)} of "a 0-4, b 4-8"; "none" and "nothing" are empty."""
-    found = {}
+    parsed = {}
     for entry in [] if text in ("none", "nothing") else text.split(","):
         name, _, layers = entry.strip().partition(" ")
         first, _, end = layers.partition("-")
-        found[name] = (int(first), int(end)) if end else (0, 0)
-    return found
+        parsed[name] = (int(first), int(end)) if end else (0, 0)
+    return parsed
 
 
 def depth(model, hosts):
@@ -71,7 +71,7 @@
 
 
 def fit_together(model, plan, hosts):
-    """Return whether each host can keep its old layers until nobody needs them any more."""
+    """Return whether each host has memory for its old and its new layers together."""
     held = {each.instance: each for each in hosts}
     for each in plan:
         host = held[each.instance]
@@ -89,28 +89,28 @@
 
 
 def streams_a_second(model, hosts):
-    """Return how many usual streams the paths of a domain serve a second with all places taken.
+    """Return how many usual streams a second the paths of a domain serve at full capacity.
 
-    Streams are sent on the fastest path until it is full, then on the next; each is counted at its
-    first host and in the memory of each host that it passes.
+    Streams are added to the fastest path until it is full, then to the next. Each takes a request
+    slot of its first stage and memory of every host on its path.
     """
-    kinds = {each.instance: each for each in hosts}
-    used = dict.fromkeys(kinds, 0.0)
-    begun = dict.fromkeys(kinds, 0)
+    by_instance = {each.instance: each for each in hosts}
+    used = dict.fromkeys(by_instance, 0.0)
+    started = dict.fromkeys(by_instance, 0)
 
-    def share(part):
-        host = kinds[part.instance]
+    def memory_share(part):
+        host = by_instance[part.instance]
         return 1.0 / model.places(host.kind, host.end - host.first, part.end - part.first)
 
-    def has_room(path):
-        places = (begun[path.parts[0].instance] + 1) / model.requests
-        return max(places, *(used[each.instance] + share(each) for each in path.parts)) <= 1.0
+    def has_capacity(path):
+        slots = (started[path.parts[0].instance] + 1) / model.requests
+        return max(slots, *(used[each.instance] + memory_share(each) for each in path.parts)) <= 1.0
 
     rate = 0.0
     for path in PathSet(model, hosts).starts():
-        while has_room(path):
-            begun[path.parts[0].instance] += 1
+        while has_capacity(path):
+            started[path.parts[0].instance] += 1
             for each in path.parts:
-                used[each.instance] += share(each)
+                used[each.instance] += memory_share(each)
             rate += 1000.0 / path.cost
     return rate
--- a/features/layers.feature
+++ b/features/layers.feature
@@ -1,8 +1,8 @@
-Feature: Layers over upstreams: placement, healing and paths
+Feature: Layers on upstreams: placement, healing and paths
 
-  Scenario Outline: A group is brought nearer to the whole model: <case>
+  Scenario Outline: A plan brings a group closer to the whole model: <case>
     Given a model of 80 layers of 1750 MB and a group holding <held>
-    When the group is planned with pending <pending>
+    When the group is planned with pending orders <pending>
     Then the plan is <plan>
 
     Examples:
@@ -18,15 +18,15 @@
       | twice is enough               | t4 0-6, big 4-80                      | none     | nothing             |
       | an idle host relieves         | mid 0-40, mid 40-80, mid none         | none     | c 0-36              |
 
-  Scenario: A host that only widens its range loads what lies between as well
+  Scenario: A host that only extends its range also loads the layers in between
     Given a model of 80 layers of 1750 MB and a group holding full 0-18, full 18-36, full 36-54, full 50-68, l4 71-80, t4 71-75
-    When its hosts only widen their ranges
+    When its hosts may only extend their ranges
     Then the plan is f 68-75
 
-  Scenario Outline: A gap too wide for its neighbours is closed by one plan: <case>
+  Scenario Outline: One plan closes a gap that is too wide for its neighbours: <case>
     Given a model of 80 layers of 1750 MB and a group holding <held>
-    When the group is planned with pending <pending>
-    Then the model is whole after it, with no load of more than <most> layers
+    When the group is planned with pending orders <pending>
+    Then the plan makes the model whole, and no host loads more than <most> layers
 
     Examples:
       | case                  | held | pending | most |
@@ -34,21 +34,21 @@
       | one host is busy      | l4 15-24, t4 23-29, a100s 29-42, l4 41-50, t4 49-54, t4 50-57, a100s 55-69, l4 69-76, t4 76-80 | a 15-24 | 9 |
       | one in the middle     | a100s 0-12, l4 12-19, t4 19-24, l4 41-48, t4 48-53, t4 53-57, a100s 57-69, l4 69-76, t4 76-80, t4 20-24 | none | 8 |
 
-  Scenario: After a loss is made up for, no host is left without room for requests
+  Scenario: After a loss is healed, every host has memory for requests
     Given a model of 80 layers of 1750 MB and a group holding t4 0-7, l4 6-15, t4 15-18, l4 18-25, a100s 24-40, l4 36-43, l4 40-47, l4 47-55, t4 55-62, l4 60-69, t4 68-73, l4 73-80
-    When the group is planned until it rests
-    Then every layer is held after 2 plans and no host holds more than 0.8 of its memory
+    When the group is planned until no orders remain
+    Then every layer is held after 2 plans and no host is filled beyond 0.8 of its memory
 
   Scenario: The first placement gives each host layers in proportion to its memory
     Given a model of 80 layers of 1750 MB and the upstreams of one domain, all empty
-    When the group is planned with pending none
-    Then every layer is held once and no host holds more than 0.92 of its memory
+    When the group is planned with pending orders none
+    Then every layer is held once and no host is filled beyond 0.92 of its memory
 
-  Scenario Outline: No plan goes beyond an upstream's memory: <lost> of the hosts are lost
+  Scenario Outline: No plan exceeds an upstream's memory: <lost> of the hosts are lost
     Given a model of 80 layers of 1750 MB and the upstreams of one domain, placed
-    When <lost> hosts are lost, one seed after the other, and the group is planned until it rests
-    Then every layer is held and no order went beyond 0.92 of a host's memory
-    And what a host held and what it was ordered always fitted together
+    When <lost> hosts are lost, for each of several seeds, and the group is planned until no orders remain
+    Then every layer is held and no order exceeds 0.92 of a host's memory
+    And the held and the ordered layers of a host always fit into its memory together
 
     Examples:
       | lost |
@@ -56,20 +56,20 @@
       | 2    |
       | 3    |
 
-  Scenario: A domain that can't hold the model joins others that can't
+  Scenario: Domains that can't hold the model alone form one group
     Given a model of 80 layers of 1750 MB and the domains x of 45 layers, y of 50 and z of 160
     Then the groups are z and x+y
 
-  Scenario: A domain with room for two copies holds every layer twice
+  Scenario: A domain with memory for two copies holds every layer twice
     Given a model of 80 layers of 1750 MB and the domains z of 300 layers
     When the first placement of the group z is carried out
     Then every layer is held 2 times
 
   Scenario Outline: A first placement serves as many streams as its hosts allow: <case>
-    Given a domain of <hosts> and a model of whose paths <requests> requests begin at one host
+    Given a domain of <hosts> and a model with <requests> concurrent requests for each first stage
     When its first placement is carried out
-    Then <copies> copies serve <least> streams a second or more, no host holds more than <fill> of its memory
-    And when any <lost> hosts are lost the rest still serves <after> streams a second or more
+    Then <copies> copies serve at least <least> streams a second, and no host is filled beyond <fill> of its memory
+    And after the loss of any <lost> hosts the rest serves at least <after> streams a second
 
     Examples:
       | case                     | hosts                    | requests | copies | least | fill | lost | after |
@@ -78,9 +78,9 @@
       | a copy of the fast hosts | 4 big100, 11 l4, 10 v100 | 96       | 2      | 600   | 0.70 | 1    | 340   |
       | a copy of each kind      | 3 big100, 16 l4, 14 v100 | 96       | 3      | 400   | 0.70 | 1    | 210   |
 
-  Scenario: What layouts are worth follows from the hosts, not from their names or order
-    Then for 150 random groups the first placement fits, and is worth as much under other names
-    And it is worth no more with some of its hosts slower, and at most 1.2 times as much with one less
+  Scenario: The rate of a layout depends on the hosts, not on their names or order
+    Then for 150 random groups the first placement fits, and its rate doesn't depend on host names
+    And its rate doesn't rise if some hosts are slower, and at most by a factor of 1.2 with one host less
 
   Scenario Outline: A path runs every layer once: <case>
     Given the hosts <hosts>
@@ -96,10 +96,10 @@
       | a leaving one is left out   | a:x:0-40, b:x:40-80:leaving, c:y:40-80        | x      | a 0-40, c 40-80      |
       | nothing whole               | a:x:0-40, b:x:41-80                           | x      | nothing              |
 
-  Scenario: Random overlapping hosts never give a path that lacks or doubles a layer
-    Then 400 sets of hosts give paths that run each layer once, or none where none is
+  Scenario: No path over random overlapping hosts lacks or repeats a layer
+    Then 400 sets of hosts give paths that run each layer once, or none if a layer is missing
 
-  Scenario Outline: Paths of one domain share hosts as little as can be: <case>
+  Scenario Outline: Paths of one domain share as few hosts as possible: <case>
     Given the hosts <hosts>
     Then the paths of domain <domain> are <paths>
 
@@ -110,19 +110,19 @@
       | one tail for both     | a:x:0-40, b:x:40-80, c:x:0-40                    | x      | a b, c b |
       | borrowed by both      | a:x:0-40, c:x:0-40, b:y:40-80                    | x      | a b, c b |
 
-  Scenario: Random overlapping hosts never give a set of paths that lacks or doubles a layer
-    Then 300 sets of hosts give sets of paths that run each layer once, from the same first hosts
+  Scenario: No set of paths over random overlapping hosts lacks or repeats a layer
+    Then 300 sets of hosts give sets of paths that run each layer once, one from each first stage
 
-  Scenario: Two processes claim a plan and one gives the orders
-    Given two processes with a view of the same plan
+  Scenario: Of two processes that claim a plan one sends its orders
+    Given two processes that know the same plan
     When both claim the next plan
     Then one has won and the other knows the winner's plan
-    And after an answer that was lost nobody gives orders
+    And after a claim whose answer is lost no orders may be sent
 
-  Scenario Outline: Of many processes few try to write a plan: <case>
+  Scenario Outline: Of many processes few write a plan: <case>
     Given <count> processes that see the same gap, of which the first <lost> are lost
-    When plans are told on after 0.1 seconds
-    Then the gap is ordered closed within <seconds> seconds and at most <claims> claims were made
+    When plans reach the other processes after 0.1 seconds
+    Then orders to close the gap are sent within <seconds> seconds with at most <claims> claims
 
     Examples:
       | case               | count | lost | seconds | claims |
@@ -130,24 +130,24 @@
       | the first two lost | 60    | 2    | 0.8     | 2      |
       | most lost          | 60    | 50   | 2.2     | 10     |
 
-  Scenario: Few try to write the first plan though all wait for the rows to stop coming
+  Scenario: Few processes write the first plan although all wait until no more rows arrive
     Given 60 processes that see only empty upstreams
-    When plans are told on after 0.1 seconds
-    Then the gap is ordered closed within 2 seconds and at most 2 claims were made
+    When plans reach the other processes after 0.1 seconds
+    Then orders to close the gap are sent within 2 seconds with at most 2 claims
 
-  Scenario: Whoever saw an earlier failure waits for its turn once a plan was made for that
+  Scenario: A process that saw a failure waits for its turn again once a plan was made for it
     Given 60 processes that all saw a failure, and then see another gap
-    When plans are told on after 0.25 seconds
-    Then the gap is ordered closed within 0.4 seconds and at most 2 claims were made
+    When plans reach the other processes after 0.25 seconds
+    Then orders to close the gap are sent within 0.4 seconds with at most 2 claims
 
-  Scenario: A paused process gives no orders when it wakes
+  Scenario: A process that was paused after its claim sends no orders
     Given a process whose claim is answered after 2 seconds
-    Then it gives no orders
+    Then it sends no orders
 
-  Scenario: An order that gets no answer is given again at once
-    Given a process whose orders get no answer twice
-    Then each upstream has its order within 0.1 seconds of the first one
+  Scenario: An order that gets no answer is retried immediately
+    Given a process whose first two orders to each upstream get no answer
+    Then each upstream accepts an order within 0.1 seconds of the first attempt
 
-  Scenario: An upstream that is busy gets no further order for a while
-    Given a process whose orders meet a conflict
-    Then it gives at most 24 orders in 2.8 seconds
+  Scenario: An upstream that is busy gets no further order during a cooldown
+    Given a process whose orders are answered with a conflict
+    Then it sends at most 24 orders in 2.8 seconds
--- a/features/path_load.feature
+++ b/features/path_load.feature
@@ -1,9 +1,9 @@
-Feature: Decisions on paths at the worst load, as functions of values
+Feature: Choice of paths under high load, tested without I/O
 
-  Scenario Outline: Streams that several first upstreams see are counted once: <case>
+  Scenario Outline: Streams that several first stages report are counted once: <case>
     Given paths <paths>
-    When the first upstreams tell of <told> running
-    Then <begun> begin there and <passing> pass
+    When the first stages report <told> running streams
+    Then <begun> streams start there, and the upstreams run <passing>
 
     Examples:
       | case                          | paths             | told              | begun             | passing                  |
@@ -14,11 +14,11 @@
       | a row of them                 | r s m, s m, m t   | r 10, s 25, m 60  | r 10, s 15, m 35  | m 60, s 25, t 35         |
       | told late, never below none   | s m t, m t        | s 30, m 10        | s 30, m 0         | m 30, t 30               |
 
-  Scenario Outline: Many that choose by the same old word don't meet at one path: <case>
-    Given <count> first upstreams with <slots> places, each of which has <running> running
-    When <arrivals> requests choose among them by that word, seed <seed>
-    Then the fullest has at most <most> more than it had
-    And none choose the full one
+  Scenario Outline: Requests that choose by the same stale counts don't all take one path: <case>
+    Given <count> first stages with <slots> request slots, each running <running> streams
+    When <arrivals> requests choose among them by these counts, seed <seed>
+    Then at most <most> of them choose the same stage
+    And none chooses the full stage
 
     Examples:
       | case        | count | slots | running | arrivals | seed | most |
@@ -26,15 +26,15 @@
       | a burst     | 6     | 96    | 60      | 90       | 2    | 26   |
       | many        | 18    | 96    | 60      | 220      | 3    | 24   |
 
-  Scenario: A path that takes twice the time is drawn about a quarter as often
-    When 4000 requests choose between a path of 1000 ms and two of 2000 ms, all scored alike
+  Scenario: A path of twice the cost is drawn about a quarter as often
+    When 4000 requests choose between a path of 1000 ms and two of 2000 ms with equal scores
     Then the first is chosen between 55 and 75 times in 100
 
-  Scenario Outline: Processes keep to fast paths, and each path has some that keep to it: <case>
-    Given <fast> paths of 700 ms and <slow> of <ms> ms from one domain's first upstreams
-    When each of 60 processes keeps to 3 of them
-    Then between <least> and <most> keep to a fast one first
-    And each path is kept to by at least <few> of them
+  Scenario Outline: Processes prefer fast paths, and each path is preferred by some: <case>
+    Given <fast> paths of 700 ms and <slow> of <ms> ms from first stages of one domain
+    When each of 60 processes prefers 3 of them
+    Then between <least> and <most> processes have a fast path as their first choice
+    And each path is preferred by at least <few> processes
 
     Examples:
       | case                 | fast | slow | ms   | least | most | few |
--- a/features/steps/busy_upstream_steps.py
+++ b/features/steps/busy_upstream_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the timeout of questions and orders while answers are late."""
+"""Steps for the timeout of queries and orders while answers are late."""
 
 import trio
 from behave import given, then, when
@@ -10,7 +10,7 @@
 NOW = 100.0
 
 
-@given("two chains of runners that answer questions and orders after {seconds:g} seconds")
+@given("two chains of runners that answer queries and orders after {seconds:g} seconds")
 def chains_with_control_delay(context, seconds):
     two_chains(context)
     for runner in context.site.runners.values():
@@ -22,25 +22,25 @@
     context.warm_up_seconds = 3.0
 
 
-async def hold_streams_up(site, seconds):
+async def stall_streams(site, seconds):
     site.runners["x2"].holds_up = True
     await trio.sleep(seconds)
     site.runners["x2"].holds_up = False
 
 
-async def go_dark(site):
+async def drop_traffic(site):
     site.runners["x2"].dead = True
     site.network.darken(site.runners["x2"].address)
 
 
-async def die(site):
+async def crash(site):
     site.runners["x2"].die()
 
 
 CHANGES = {
-    "holds streams up for 0.3 s": lambda site: hold_streams_up(site, 0.3),
-    "goes dark": go_dark,
-    "dies": die,
+    "holds streams up for 0.3 s": lambda site: stall_streams(site, 0.3),
+    "goes dark": drop_traffic,
+    "dies": crash,
 }
 
 
@@ -54,9 +54,9 @@
 
 @then("the second upstream of the path was {result}")
 def second_upstream_was(context, result):
-    pulses = [fields for decision, fields in context.site.lines if decision == "pulse"]
-    names = {each["instance"].partition("@")[0] for each in pulses}
-    assert ("x2" in names) == (result == "suspected"), pulses
+    probes = [fields for decision, fields in context.site.lines if decision == "pulse"]
+    names = {each["instance"].partition("@")[0] for each in probes}
+    assert ("x2" in names) == (result == "suspected"), probes
 
 
 def parse_answer_times(text):
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -1,4 +1,4 @@
-"""Steps about decisions on paths."""
+"""Steps about the choice of paths."""
 
 from collections import Counter
 from random import Random
@@ -27,30 +27,30 @@
     context.paths = [path_over(entry.split()) for entry in paths.split(",")]
 
 
-@when("the first upstreams tell of {told} running")
-def told_running(context, told):
-    context.begun = begun_at(context.paths, numbers_of(told).__getitem__)
+@when("the first stages report {reported} running streams")
+def report_running(context, reported):
+    context.started = begun_at(context.paths, numbers_of(reported).__getitem__)
 
 
-@then("{begun} begin there and {passed} pass")
-def begin_and_pass(context, begun, passed):
-    assert context.begun == numbers_of(begun), context.begun
-    found = passing(context.paths, context.begun)
-    assert {name: found[name] for name in numbers_of(passed)} == numbers_of(passed), found
+@then("{started} streams start there, and the upstreams run {running}")
+def start_and_run(context, started, running):
+    assert context.started == numbers_of(started), context.started
+    streams = passing(context.paths, context.started)
+    assert {name: streams[name] for name in numbers_of(running)} == numbers_of(running), streams
 
 
-@given("{count:d} first upstreams with {slots:d} places, each of which has {running:d} running")
-def upstreams_given(context, count, slots, running):
+@given("{count:d} first stages with {slots:d} request slots, each running {running:d} streams")
+def first_stages(context, count, slots, running):
     context.slots = slots
     context.running = {f"u{each}": running for each in range(count)}
-    # One of them is full, and the fastest.
+    # The fastest of them is full.
     context.running["u0"] = slots + 20
     context.paths = [
         path_over([name, "tail"], 900.0 if name == "u0" else 1000.0) for name in context.running
     ]
 
 
-@when("{arrivals:d} requests choose among them by that word, seed {seed:d}")
+@when("{arrivals:d} requests choose among them by these counts, seed {seed:d}")
 def requests_choose(context, arrivals, seed):
     random = Random(seed)
 
@@ -62,24 +62,24 @@
     )
 
 
-@then("the fullest has at most {most:d} more than it had")
-def fullest(context, most):
-    assert max(context.chosen.values()) <= most, context.chosen
+@then("at most {max_count:d} of them choose the same stage")
+def few_choose_same(context, max_count):
+    assert max(context.chosen.values()) <= max_count, context.chosen
 
 
-@then("none choose the full one")
+@then("none chooses the full stage")
 def none_full(context):
     assert context.chosen["u0"] == 0, context.chosen
 
 
 @when(
-    "{count:d} requests choose between a path of {fast:g} ms and two of {slow:g} ms, all scored "
-    "alike"
+    "{count:d} requests choose between a path of {fast:g} ms and two of {slow:g} ms with "
+    "equal scores"
 )
 def choose_by_cost(context, count, fast, slow):
     random = Random(5)
     paths = [path_over("a", fast), path_over("b", slow), path_over("c", slow)]
-    # The first of the two drawn counts where both are scored alike.
+    # With equal scores the first of the two drawn paths is chosen.
     context.count = count
     context.chosen = Counter(
         draw_path(paths, lambda path: 1.0, random).parts[0].instance for _ in range(count)
@@ -91,27 +91,27 @@
     assert low <= 100 * context.chosen["a"] / context.count <= high, context.chosen
 
 
-@given("{fast:d} paths of 700 ms and {slow:d} of {cost:d} ms from one domain's first upstreams")
+@given("{fast:d} paths of 700 ms and {slow:d} of {cost:d} ms from first stages of one domain")
 def fast_and_slow(context, fast, slow, cost):
     context.fast = {f"f{each}" for each in range(fast)}
     context.paths = [path_over([name], 700.0) for name in sorted(context.fast)]
     context.paths += [path_over([f"s{each}"], float(cost)) for each in range(slow)]
 
 
-@when("each of {processes:d} processes keeps to {count:d} of them")
-def processes_keep(context, processes, count):
-    kept = [usual_paths(context.paths, f"p{each}", count) for each in range(processes)]
-    context.firsts = [[path.parts[0].instance for path in paths] for paths in kept]
+@when("each of {processes:d} processes prefers {count:d} of them")
+def processes_prefer(context, processes, count):
+    preferred = [usual_paths(context.paths, f"p{each}", count) for each in range(processes)]
+    context.firsts = [[path.parts[0].instance for path in paths] for paths in preferred]
     assert all(len(set(each)) == min(count, len(context.paths)) for each in context.firsts)
 
 
-@then("between {least:d} and {most:d} keep to a fast one first")
-def keep_to_fast(context, least, most):
-    found = sum(each[0] in context.fast for each in context.firsts)
-    assert least <= found <= most, found
+@then("between {least:d} and {most:d} processes have a fast path as their first choice")
+def prefer_fast(context, least, most):
+    count = sum(each[0] in context.fast for each in context.firsts)
+    assert least <= count <= most, count
 
 
-@then("each path is kept to by at least {few:d} of them")
-def kept_by(context, few):
-    found = Counter(name for each in context.firsts for name in each)
-    assert min(found[each.parts[0].instance] for each in context.paths) >= few, found
+@then("each path is preferred by at least {min_count:d} processes")
+def preferred_by(context, min_count):
+    counts = Counter(name for each in context.firsts for name in each)
+    assert min(counts[each.parts[0].instance] for each in context.paths) >= min_count, counts
--- a/features/steps/healer_steps.py
+++ b/features/steps/healer_steps.py
@@ -1,10 +1,10 @@
-"""Steps about claims of plans and their orders."""
+"""Steps about the claims of plans and their orders."""
 
 from random import Random
 
 import trio
 from behave import given, then, when
-from healer_standins import CountingOrderer, DeafOrderer, SlowTable, ToldTable
+from healer_standins import CountingOrderer, NotifyingTable, SilentOrderer, SlowTable
 from layer_world import LAYER_MB, model_of
 from returns.result import Success
 from trio.testing import MockClock
@@ -16,7 +16,7 @@
 from deckcourse.layers.plan_book import ClaimLost, ClaimUnanswered, PlanBook, PlanWon
 
 
-@given("two processes with a view of the same plan")
+@given("two processes that know the same plan")
 def two_processes(context):
     context.claims = SlowTable()
     context.books = [PlanBook(context.claims, name) for name in "ab"]
@@ -37,8 +37,8 @@
     assert lost.record == won.record
 
 
-@then("after an answer that was lost nobody gives orders")
-def nobody_orders(context):
+@then("after a claim whose answer is lost no orders may be sent")
+def no_orders_allowed(context):
     context.claims.lost = True
 
     async def claim():
@@ -52,7 +52,7 @@
 
 
 def run_healer(table, orderer, seconds):
-    """Run one healer over a model with a gap for a while, on a virtual clock."""
+    """Run one healer for a model with a gap on a virtual clock."""
 
     async def run():
         upstreams = UpstreamTable(trio.current_time)
@@ -74,32 +74,32 @@
     run_healer(SlowTable(seconds), context.orderer, seconds + 1.5)
 
 
-@then("it gives no orders")
+@then("it sends no orders")
 def no_orders(context):
     assert context.orderer.orders == 0
 
 
-@given("a process whose orders meet a conflict")
+@given("a process whose orders are answered with a conflict")
 def conflicts(context):
     context.orderer = CountingOrderer(OrderResult.CONFLICT)
     run_healer(SlowTable(), context.orderer, 2.0 + 0.8)
 
 
-@then("it gives at most {most:d} orders in 2.8 seconds")
-def orders_at_most(context, most):
-    # Without the pause there would be some 90 rounds, each with two orders to two hosts.
-    assert 0 < context.orderer.orders <= most, context.orderer.orders
+@then("it sends at most {max_orders:d} orders in 2.8 seconds")
+def orders_at_most(context, max_orders):
+    # Without the cooldown there would be some 90 rounds, each with two orders to two hosts.
+    assert 0 < context.orderer.orders <= max_orders, context.orderer.orders
 
 
-@given("a process whose orders get no answer twice")
+@given("a process whose first two orders to each upstream get no answer")
 def orders_without_answer(context):
-    context.orderer = DeafOrderer(2)
+    context.orderer = SilentOrderer(2)
     run_healer(SlowTable(), context.orderer, 2.0)
 
 
-@then("each upstream has its order within {seconds:g} seconds of the first one")
+@then("each upstream accepts an order within {seconds:g} seconds of the first attempt")
 def ordered_soon(context, seconds):
-    times = context.orderer.taken
+    times = context.orderer.accepted_at
     assert set(times) == {"a", "b"}, times
     assert max(times.values()) <= TURN_SECONDS * 2 + CHECK_INTERVAL_SECONDS + seconds, times
 
@@ -122,28 +122,28 @@
     context.held = (("a", 0, 0), ("b", 0, 0))
 
 
-def put_held(upstreams, held):
+def put_rows(upstreams, held):
     for name, first, end in held:
         upstreams.put(Upstream(name, "s", name, "x", kind="big", first=first, end=end))
 
 
 async def see_failure(context, tables):
-    """Let all see a failure, its plan be made and carried out, and then the next gap open."""
-    for _, healer, _ in context.told.listeners:
+    """Let all processes see a failure, carry out a plan for it, and then open the next gap."""
+    for _, healer, _ in context.plan_table.listeners:
         healer.witness("x")
     await trio.sleep(2.0)
-    assert context.told.claims > 0
+    assert context.plan_table.claims > 0
     for each in tables:
-        put_held(each, (("a", 0, 40), ("b", 40, 80)))
+        put_rows(each, (("a", 0, 40), ("b", 40, 80)))
     await trio.sleep(4.0)
-    context.told.claims = context.orderer.orders = 0
+    context.plan_table.claims = context.orderer.orders = 0
     for each in tables:
-        put_held(each, context.held)
+        put_rows(each, context.held)
 
 
-@when("plans are told on after {seconds:g} seconds")
-def told_on(context, seconds):
-    context.told = ToldTable(seconds)
+@when("plans reach the other processes after {seconds:g} seconds")
+def plans_propagate(context, seconds):
+    context.plan_table = NotifyingTable(seconds)
     context.orderer = CountingOrderer(OrderResult.TAKEN)
     context.ordered_at = None
     saw_before = getattr(context, "saw_before", ())
@@ -155,15 +155,15 @@
             for turn in context.turns:
                 upstreams = UpstreamTable(trio.current_time)
                 tables.append(upstreams)
-                put_held(upstreams, saw_before or context.held)
-                book = PlanBook(context.told, f"p{turn}")
+                put_rows(upstreams, saw_before or context.held)
+                book = PlanBook(context.plan_table, f"p{turn}")
                 healer = Healer(
                     "s", upstreams, book, context.orderer, Random(turn),
                     lambda *_, **__: None, lambda group, turn=turn: turn,
                 )  # fmt: skip
-                context.told.listeners.append((book, healer, model))
+                context.plan_table.listeners.append((book, healer, model))
                 nursery.start_soon(healer.run, lambda: model, lambda: True)
-            context.told.nursery = nursery
+            context.plan_table.nursery = nursery
             if saw_before:
                 await see_failure(context, tables)
             gap_at = trio.current_time()
@@ -178,7 +178,9 @@
     trio.run(run, clock=MockClock(autojump_threshold=0))
 
 
-@then("the gap is ordered closed within {seconds:g} seconds and at most {most:d} claims were made")
-def few_claims(context, seconds, most):
+@then(
+    "orders to close the gap are sent within {seconds:g} seconds with at most {max_claims:d} claims"
+)
+def few_claims(context, seconds, max_claims):
     assert context.ordered_at is not None and context.ordered_at <= seconds, context.ordered_at
-    assert 0 < context.told.claims <= most, context.told.claims
+    assert 0 < context.plan_table.claims <= max_claims, context.plan_table.claims
--- a/features/steps/layer_steps.py
+++ b/features/steps/layer_steps.py
@@ -1,4 +1,4 @@
-"""Steps about placement: groups and their plans."""
+"""Steps about the placement of layers: groups and their plans."""
 
 from dataclasses import replace
 from itertools import combinations
@@ -25,7 +25,7 @@
 from deckcourse.layers.model import AcceleratorKind
 from deckcourse.layers.placement import plan_group
 
-# Kinds that random groups have; the largest hold much of a model each.
+# Kinds in random groups; each of the largest holds a large part of a model.
 PLACED_KINDS = ["a100s", "l4", "t4", "big100", "v100", "mid"]
 
 
@@ -47,15 +47,15 @@
         context.hosts = carried_out(context.hosts, plan_of(context, {}))
 
 
-@when("the group is planned with pending {pending}")
+@when("the group is planned with pending orders {pending}")
 def planned(context, pending):
     context.plan = plan_of(context, ranges(pending))
 
 
-@when("its hosts only widen their ranges")
-def only_widen(context):
-    context.plan, whole = restore(context.model, context.hosts, {}, give_up=False)
-    assert whole
+@when("its hosts may only extend their ranges")
+def only_extend(context):
+    context.plan, is_whole = restore(context.model, context.hosts, {}, give_up=False)
+    assert is_whole
 
 
 @then("the plan is {plan}")
@@ -64,8 +64,8 @@
     assert got == ranges(plan), got
 
 
-@when("the group is planned until it rests")
-def planned_until_rest(context):
+@when("the group is planned until no orders remain")
+def planned_until_done(context):
     context.plans = 0
     while plan := plan_of(context, {}):
         assert within_memory(context.model, plan, context.hosts)
@@ -75,26 +75,29 @@
         assert min(depth(context.model, context.hosts)) >= 1
 
 
-@then("every layer is held after {most:d} plans and no host holds more than {fill:g} of its memory")
-def level_after(context, most, fill):
-    assert context.plans <= most, context.plans
+@then(
+    "every layer is held after {max_plans:d} plans and no host is filled beyond {fill:g} of its "
+    "memory"
+)
+def level_after(context, max_plans, fill):
+    assert context.plans <= max_plans, context.plans
     assert max(each.fill(context.model) for each in context.hosts) <= fill
 
 
-@then("the model is whole after it, with no load of more than {most:d} layers")
-def whole_after(context, most):
+@then("the plan makes the model whole, and no host loads more than {max_load:d} layers")
+def whole_after(context, max_load):
     before = {each.instance: each for each in context.hosts}
     for each in context.plan:
         host = before[each.instance]
-        kept = len(set(range(host.first, host.end)) & set(range(each.first, each.end)))
-        assert each.end - each.first - kept <= most, each
+        overlap = len(set(range(host.first, host.end)) & set(range(each.first, each.end)))
+        assert each.end - each.first - overlap <= max_load, each
     hosts = carried_out(context.hosts, context.plan)
     assert min(depth(context.model, hosts)) >= 1, (context.plan, depth(context.model, hosts))
     assert within_memory(context.model, context.plan, context.hosts)
     assert fit_together(context.model, context.plan, context.hosts)
 
 
-@then("every layer is held once and no host holds more than {fill:g} of its memory")
+@then("every layer is held once and no host is filled beyond {fill:g} of its memory")
 def held_once(context, fill):
     hosts = carried_out(context.hosts, context.plan)
     assert set(depth(context.model, hosts)) == {1}
@@ -102,13 +105,16 @@
     assert fill == MAX_FILL
 
 
-@when("{lost:d} hosts are lost, one seed after the other, and the group is planned until it rests")
+@when(
+    "{lost:d} hosts are lost, for each of several seeds, and the group is planned until no orders "
+    "remain"
+)
 def lost_hosts(context, lost):
     context.ends = []
     context.orders_fit = context.fit_together = True
-    whole = context.hosts
+    all_hosts = context.hosts
     for seed in range(SEEDS):
-        context.hosts = Random(seed).sample(whole, len(whole) - lost)
+        context.hosts = Random(seed).sample(all_hosts, len(all_hosts) - lost)
         for _ in range(20):
             groups = groups_of(context.model, context.hosts)
             plan = plan_group(context.model, groups[0]) if groups else ()
@@ -122,7 +128,7 @@
             context.ends.append(context.hosts)
 
 
-@then("every layer is held and no order went beyond {fill:g} of a host's memory")
+@then("every layer is held and no order exceeds {fill:g} of a host's memory")
 def held_after(context, fill):
     assert len(context.ends) > SEEDS * 0.9
     assert context.orders_fit and fill == MAX_FILL
@@ -130,8 +136,8 @@
         assert min(depth(context.model, hosts)) >= 1, hosts
 
 
-@then("what a host held and what it was ordered always fitted together")
-def fitted_together(context):
+@then("the held and the ordered layers of a host always fit into its memory together")
+def always_fit_together(context):
     assert context.fit_together
 
 
@@ -165,7 +171,7 @@
     assert set(depth(context.model, context.hosts)) == {times}, depth(context.model, context.hosts)
 
 
-@given("a domain of {hosts} and a model of whose paths {requests:d} requests begin at one host")
+@given("a domain of {hosts} and a model with {requests:d} concurrent requests for each first stage")
 def domain_of(context, hosts, requests):
     context.model = model_of(80, LAYER_MB, requests)
     context.hosts = []
@@ -180,26 +186,26 @@
 
 
 @then(
-    "{copies:d} copies serve {least:d} streams a second or more, no host holds more than {fill:g} "
-    "of its memory"
+    "{copies:d} copies serve at least {least:d} streams a second, and no host is filled beyond "
+    "{fill:g} of its memory"
 )
 def copies_serve(context, copies, least, fill):
     assert min(depth(context.model, context.hosts)) >= copies
     assert max(each.fill(context.model) for each in context.hosts) <= fill
-    found = streams_a_second(context.model, context.hosts)
-    assert found >= least, found
+    rate = streams_a_second(context.model, context.hosts)
+    assert rate >= least, rate
 
 
-@then("when any {lost:d} hosts are lost the rest still serves {after:d} streams a second or more")
+@then("after the loss of any {lost:d} hosts the rest serves at least {after:d} streams a second")
 def rest_serves(context, lost, after):
-    for gone in combinations(context.hosts, lost):
-        rest = [each for each in context.hosts if each not in gone]
-        found = streams_a_second(context.model, rest)
-        assert found >= after, (gone, found)
+    for missing in combinations(context.hosts, lost):
+        rest = [each for each in context.hosts if each not in missing]
+        rate = streams_a_second(context.model, rest)
+        assert rate >= after, (missing, rate)
 
 
 def random_groups(count):
-    """Yield random groups of hosts that can hold a model, each with the model."""
+    """Yield the random generators, models and hosts of groups that can hold their model."""
     for seed in range(count):
         random = Random(seed)
         model = replace(model_of(80, LAYER_MB, random.choice([96, 10_000])), stream_step_ms=0.01)
@@ -210,20 +216,21 @@
             yield random, model, hosts
 
 
-def best_worth(model, hosts):
+def best_rate(model, hosts):
     (group,) = groups_of(model, hosts)
     layout = best_layout(model, group)
     return layout, layout_rate(model, group, layout)
 
 
 @then(
-    "for {count:d} random groups the first placement fits, and is worth as much under other names"
+    "for {count:d} random groups the first placement fits, and its rate doesn't depend on host "
+    "names"
 )
 def layouts_fit(context, count):
     context.groups = list(random_groups(count))
     assert len(context.groups) > count * 0.7
     for random, model, hosts in context.groups:
-        layout, worth = best_worth(model, hosts)
+        layout, rate = best_rate(model, hosts)
         for copy in layout:
             assert min(depth(model, carried_out(hosts, copy))) >= 1, copy
             assert within_memory(model, copy, hosts)
@@ -231,21 +238,21 @@
         assert len(placed) == len(set(placed)), placed
         renamed = [replace(each, instance=f"n{random.random()}") for each in hosts]
         random.shuffle(renamed)
-        assert abs(best_worth(model, renamed)[1] - worth) <= 1e-9 * worth
+        assert abs(best_rate(model, renamed)[1] - rate) <= 1e-9 * rate
 
 
 @then(
-    "it is worth no more with some of its hosts slower, and at most {most:g} times as much with "
-    "one less"
+    "its rate doesn't rise if some hosts are slower, and at most by a factor of {max_factor:g} "
+    "with one host less"
 )
-def slower_is_worse(context, most):
+def slower_is_worse(context, max_factor):
     for random, model, hosts in context.groups:
-        layout, worth = best_worth(model, hosts)
+        layout, rate = best_rate(model, hosts)
         kind = random.choice(hosts).kind
         slower = replace(model.kinds[kind], step_factor=model.kinds[kind].step_factor * 1.5)
         slower_model = replace(model, kinds={**model.kinds, kind: slower})
         (group,) = groups_of(model, hosts)
-        assert layout_rate(slower_model, group, layout) <= worth
+        assert layout_rate(slower_model, group, layout) <= rate
         rest = random.sample(hosts, len(hosts) - 1)
         if groups_of(model, rest):
-            assert best_worth(model, rest)[1] <= most * worth
+            assert best_rate(model, rest)[1] <= max_factor * rate
--- a/features/steps/path_steps.py
+++ b/features/steps/path_steps.py
@@ -27,20 +27,20 @@
 
 
 def runs_each_once(path, layers):
-    at = 0
+    end = 0
     for part in path.parts:
-        if part.first != at or part.end <= part.first:
+        if part.first != end or part.end <= part.first:
             return False
-        at = part.end
-    return at == layers
+        end = part.end
+    return end == layers
 
 
-def random_hosts(random, most, firsts, longest):
-    """Return up to `most` hosts of three domains that hold ranges of up to `longest` layers."""
+def random_hosts(random, max_hosts, firsts, max_layers):
+    """Return up to `max_hosts` hosts of three domains, each with up to `max_layers` layers."""
     hosts = []
-    for index in range(random.randint(1, most)):
+    for index in range(random.randint(1, max_hosts)):
         first = random.choice(firsts)
-        end = min(80, first + random.randint(1, longest))
+        end = min(80, first + random.randint(1, max_layers))
         domain = random.choice("xyz")
         hosts.append(LayerHost(f"h{index}", domain, "l4", first, end, f"h{index}"))
     return hosts
@@ -68,14 +68,14 @@
     assert got == ranges(path), got
 
 
-@then("{count:d} sets of hosts give paths that run each layer once, or none where none is")
+@then("{count:d} sets of hosts give paths that run each layer once, or none if a layer is missing")
 def generated_paths(context, count):
     model = model_of(80, LAYER_MB)
     for seed in range(count):
         hosts = random_hosts(Random(seed), 14, range(80), 40)
         starts = PathFinder(model, hosts).starts()
-        whole = min(depth(model, hosts)) >= 1
-        assert bool(starts) == whole, (seed, hosts)
+        is_whole = min(depth(model, hosts)) >= 1
+        assert bool(starts) == is_whole, (seed, hosts)
         for path in starts:
             assert runs_each_once(path, 80), (seed, path)
             names = [each.instance for each in path.parts]
@@ -87,19 +87,21 @@
 
 @then("the paths of domain {domain} are {paths}")
 def paths_of_domain(context, domain, paths):
-    found = PathSet(context.model, context.hosts).starts()
+    paths_found = PathSet(context.model, context.hosts).starts()
     got = [
-        " ".join(part.instance for part in each.parts) for each in found if each.domain == domain
+        " ".join(part.instance for part in each.parts)
+        for each in paths_found
+        if each.domain == domain
     ]
     assert sorted(got) == [each.strip() for each in paths.split(",")], got
 
 
 @then(
-    "{count:d} sets of hosts give sets of paths that run each layer once, from the same first hosts"
+    "{count:d} sets of hosts give sets of paths that run each layer once, one from each first stage"
 )
 def generated_path_sets(context, count):
     model = model_of(80, LAYER_MB)
-    # Half of the hosts can be the first of a path.
+    # About half of the hosts can be first stages.
     firsts = [0] * 80 + list(range(80))
     for seed in range(count):
         hosts = random_hosts(Random(seed), 16, firsts, 60)
