--- a/deckcourse/layers/hosts.py
+++ b/deckcourse/layers/hosts.py
@@ -70,7 +70,7 @@
         """Return how many layers it may hold: up to a fill, but at least those it already holds."""
         return max(model.max_layers(self.kind, fill), self.end - self.first)
 
-    def widened(self, first: int, end: int, count: int) -> tuple[int, int]:
+    def widened_range(self, first: int, end: int, count: int) -> tuple[int, int]:
         """Return a range within its own, widened to `count` layers or to all that it holds."""
         while end - first < count and (first > self.first or end < self.end):
             if end < self.end:
@@ -99,14 +99,14 @@
     """Upstreams that are to hold `copies` copies of a model together.
 
     `open` is true if every layer is held, slow and suspected hosts included: new requests may be
-    served. `passable` is the same with leaving hosts included: running streams continue.
+    served. `is_passable` is the same with leaving hosts included: running streams continue.
     """
 
     name: str
     hosts: tuple[LayerHost, ...]
     copies: int
     open: bool = False
-    passable: bool = False
+    is_passable: bool = False
 
 
 def groups_of(model: ModelSpec, hosts: Iterable[LayerHost]) -> tuple[Group, ...]:
--- a/deckcourse/layers/improvements.py
+++ b/deckcourse/layers/improvements.py
@@ -123,7 +123,7 @@
         needed = gaps(model, others, copies)
         low, high = _needed_range(host, needed)
         keep = max(1, model.max_layers(host.kind, PREFERRED_FILL))
-        low, high = host.widened(low, high, keep)
+        low, high = host.widened_range(low, high, keep)
         if (low, high) != (host.first, host.end):
             return (Assignment(host.instance, low, high, "trimmed"),)
     return ()
--- a/deckcourse/layers/leveling.py
+++ b/deckcourse/layers/leveling.py
@@ -130,7 +130,7 @@
         if first >= end or host.fill(model) <= MIN_LEVELING_FILL:
             continue
         keep = model.max_layers(host.kind, PREFERRED_FILL)
-        first, end = host.widened(first, end, keep)
+        first, end = host.widened_range(first, end, keep)
         if (first, end) != (host.first, host.end):
             assignments.append(Assignment(host.instance, first, end, "leveled"))
     return tuple(assignments)
--- a/deckcourse/layers/path_set.py
+++ b/deckcourse/layers/path_set.py
@@ -98,7 +98,7 @@
                 incomplete_domains.add(domain)
         if incomplete_domains:
             # Layers that a domain lacks are run in others.
-            cross_domain_paths = PathFinder(self._model, self._hosts_except(avoid)).starts()
+            cross_domain_paths = PathFinder(self._model, self._hosts_except(avoid)).cheapest_paths()
             paths += [each for each in cross_domain_paths if each.domain in incomplete_domains]
         return sorted(paths, key=lambda each: each.cost)
 
@@ -114,8 +114,10 @@
     def _find_onward(self, first: PathPart, domain: str, avoid: frozenset[str]) -> LayerPath | None:
         hosts = self._hosts_except(avoid)
         inside = [each for each in hosts if each.domain == domain]
-        path = PathFinder(self._model, inside, (first.end,)).onward(first, domain)
-        return path or PathFinder(self._model, hosts, (first.end,)).onward(first, domain)
+        path = PathFinder(self._model, inside, (first.end,)).cheapest_path_after(first, domain)
+        return path or PathFinder(self._model, hosts, (first.end,)).cheapest_path_after(
+            first, domain
+        )
 
     def _hosts_except(self, avoid: frozenset[str]) -> list[LayerHost]:
         return [each for each in self._hosts if each.instance not in avoid]
@@ -123,7 +125,7 @@
     def _spread_paths(self, members: Sequence[LayerHost]) -> list[LayerPath]:
         """Return a path from each first stage of a domain, avoiding load on shared hosts."""
         finder = PathFinder(self._model, members)
-        starts = finder.starts()
+        starts = finder.cheapest_paths()
         if len(starts) < 2:
             return starts
         hosts = {each.instance: each for each in members}
@@ -172,4 +174,4 @@
             for name, path_count in path_counts.items()
         }
         first = hosts[start.parts[0].instance]
-        return finder.slowed(load_factors).start(first) or start
+        return finder.slowed(load_factors).cheapest_path_from(first) or start
--- a/deckcourse/layers/paths.py
+++ b/deckcourse/layers/paths.py
@@ -208,15 +208,16 @@
         continuation = self._continuations.get((cut, domain))
         return None if continuation is None else continuation.cost
 
-    def starts(self) -> list[LayerPath]:
+    def cheapest_paths(self) -> list[LayerPath]:
         """Return the best path from each host that can be a first stage, cheapest first."""
         candidates = [each for members in self._candidates[0].values() for each in members]
         paths = [
-            self.start(each.host) for each in sorted(candidates, key=lambda each: each.position)
+            self.cheapest_path_from(each.host)
+            for each in sorted(candidates, key=lambda each: each.position)
         ]
         return sorted((each for each in paths if each is not None), key=lambda each: each.cost)
 
-    def start(self, host: LayerHost) -> LayerPath | None:
+    def cheapest_path_from(self, host: LayerHost) -> LayerPath | None:
         """Return the best path from a host that holds the first layers, None if there is none."""
         continuation = self._best_continuation([_Candidate(host, 0)], 0)
         return None if continuation is None else self._build_path(continuation, ())
@@ -228,7 +229,7 @@
         )
         return execution_cost + (len(parts) - 1) * HOP_MS * self._model.usual_answer
 
-    def onward(self, first: PathPart, domain: str) -> LayerPath | None:
+    def cheapest_path_after(self, first: PathPart, domain: str) -> LayerPath | None:
         """Return the best path with a given first stage, None if there is none."""
         if first.end >= self._model.layers:
             return LayerPath((first,), domain, 0.0)
--- a/deckcourse/layers/repair.py
+++ b/deckcourse/layers/repair.py
@@ -45,7 +45,7 @@
         if is_whole:
             return widened
         if settled and not group.open:
-            relocated = relocate(model, hosts, pending, not group.passable, fill)
+            relocated = relocate(model, hosts, pending, not group.is_passable, fill)
             if relocated:
                 return relocated
     if pending:
--- a/features/decision_work.feature
+++ b/features/decision_work.feature
@@ -35,7 +35,7 @@
 
   # Guards against computing the load of all 295 paths although a process prefers three, and against
   # searching all upstreams for first stages. With 1,000 upstreams in each of three domains a choice
-  # took 14.5 ms of processor time, and the count of all requests in flight, made every 0.4 s, 7.8 ms.
+  # took 14.5 ms of processor time, and the count of all requests, made every 0.4 s, 7.8 ms.
   Scenario Outline: A request evaluates only the few paths that its process prefers: <question>
     Given a process that knows 900 placed upstreams of each of 3 domains and their loads
     When it asks for the second time <question>
--- a/features/steps/path_steps.py
+++ b/features/steps/path_steps.py
@@ -55,7 +55,9 @@
 @then("the best path from domain {domain} is {path}")
 def best_path(context, domain, path):
     starts = [
-        each for each in PathFinder(context.model, context.hosts).starts() if each.domain == domain
+        each
+        for each in PathFinder(context.model, context.hosts).cheapest_paths()
+        if each.domain == domain
     ]
     if path == "nothing":
         assert not starts, starts
@@ -73,7 +75,7 @@
     model = model_of(80, LAYER_MB)
     for seed in range(count):
         hosts = random_hosts(Random(seed), 14, range(80), 40)
-        starts = PathFinder(model, hosts).starts()
+        starts = PathFinder(model, hosts).cheapest_paths()
         is_whole = min(depth(model, hosts)) >= 1
         assert bool(starts) == is_whole, (seed, hosts)
         for path in starts:
@@ -106,7 +108,7 @@
     for seed in range(count):
         hosts = random_hosts(Random(seed), 16, firsts, 60)
         starts = PathSet(model, hosts).starts()
-        expected = {each.parts[0].instance for each in PathFinder(model, hosts).starts()}
+        expected = {each.parts[0].instance for each in PathFinder(model, hosts).cheapest_paths()}
         assert {each.parts[0].instance for each in starts} == expected, seed
         for path in starts:
             assert runs_each_once(path, 80), (seed, path)
