--- a/deckcourse/layers/hosts.py
+++ b/deckcourse/layers/hosts.py
@@ -38,10 +38,10 @@
 class LayerHost:
     """An upstream that holds the layers `first` to `end` (exclusive), none if both are 0.
 
-    `usable` is false if the upstream is leaving or this process suspects it, `serving` only if it
-    is confirmed lost. `pace` is the factor by which it is slower than usual. `lapsing` marks one
-    whose row was missing after a store outage and may return. `scarce` marks a rate limited first
-    stage, whose layers are also loaded elsewhere.
+    `usable` is false if the upstream is leaving or this process suspects it. `serving` is false
+    only if it is confirmed lost. `pace` is the factor by which it is slower than usual. `lapsing`
+    marks one whose row was missing after a store outage and may return. `scarce` marks a rate
+    limited first stage, whose layers are also loaded elsewhere.
     """
 
     instance: str
@@ -110,7 +110,7 @@
 
 
 def groups_of(model: ModelSpec, hosts: Iterable[LayerHost]) -> tuple[Group, ...]:
-    """Return the groups of the usable hosts, without domains that can't hold the model together.
+    """Return the groups of the usable hosts; domains that can't hold the model together form none.
 
     Args:
       model: the model to place.
