--- a/deckcourse/layers/improvements.py
+++ b/deckcourse/layers/improvements.py
@@ -44,11 +44,11 @@
     hosts: Sequence[LayerHost], shares: Sequence[int], first: int, reason: str
 ) -> tuple[Assignment, ...]:
     assignments = []
-    at = first
+    start = first
     for host, share in zip(hosts, shares, strict=True):
         if share:
-            assignments.append(Assignment(host.instance, at, at + share, reason))
-        at += share
+            assignments.append(Assignment(host.instance, start, start + share, reason))
+        start += share
     return tuple(assignments)
 
 
--- a/deckcourse/layers/layouts.py
+++ b/deckcourse/layers/layouts.py
@@ -139,10 +139,10 @@
         order = _evenly_mixed(kinds)
         sizes = slice_sizes(self._model, [kinds[index] for index in order], power, self._fill)
         held = [HeldLayers(kind, 0, 0) for kind in kinds] if sizes else []
-        at = 0
+        start = 0
         for index, size in zip(order, sizes, strict=False):
-            held[index] = HeldLayers(kinds[index], at, at + size)
-            at += size
+            held[index] = HeldLayers(kinds[index], start, start + size)
+            start += size
         return held
 
 
--- a/deckcourse/layers/slices.py
+++ b/deckcourse/layers/slices.py
@@ -15,11 +15,11 @@
       The slices, none if the hosts can't hold the model.
     """
     assignments = []
-    at = 0
+    start = 0
     for host, count in zip(hosts, slice_sizes(model, [each.kind for each in hosts]), strict=False):
         if count:
-            assignments.append(Assignment(host.instance, at, at + count, reason))
-            at += count
+            assignments.append(Assignment(host.instance, start, start + count, reason))
+            start += count
     return assignments
 
 
