--- a/deckcourse/layers/healer.py
+++ b/deckcourse/layers/healer.py
@@ -113,7 +113,7 @@
         self._wait_jitter: dict[str, float] = {}
         self._host_names: frozenset[str] = frozenset()
         self._settled_at = 0.0
-        self._failed_domains: set[str] = set()
+        self._witnessed: set[str] = set()
         self._improve_after: dict[str, float] = {}
         # The groups, with the upstreams' change count and the model that they were computed for.
         self._cached_groups: tuple[int, ModelSpec, tuple[Group, ...]] | None = None
@@ -126,7 +126,7 @@
         It is forgotten once a plan is made for the domain. Otherwise, after some losses most
         processes would act before their turn and most claims would be lost.
         """
-        self._failed_domains.add(domain)
+        self._witnessed.add(domain)
 
     async def run(self, model: Callable[[], ModelSpec | None], allowed: Callable[[], bool]) -> None:
         """Check and send orders until cancelled, but only while `allowed` returns true."""
@@ -216,7 +216,7 @@
         if record is not None and record.author == self._book.author:
             return 0.0
         base = TURN_SECONDS
-        if self._failed_domains & domains_of(group.name):
+        if self._witnessed & domains_of(group.name):
             base = WITNESS_TURN_SECONDS
         jitter = self._wait_jitter.setdefault(group.name, self._random.random())
         turn_seconds = base * (1 + self._processes_ahead(group))
@@ -251,7 +251,7 @@
         """Record that a plan for the group's need exists or is being written."""
         self._needed_since.pop(group, None)
         self._wait_jitter.pop(group, None)
-        self._failed_domains -= domains_of(group)
+        self._witnessed -= domains_of(group)
         self._improve_after[group] = trio.current_time() + IMPROVEMENT_COOLDOWN_SECONDS
 
     def _mark_pending(self, model: ModelSpec, record: PlanRecord) -> None:
