--- a/deckcourse/change_feed.py
+++ b/deckcourse/change_feed.py
@@ -1,4 +1,4 @@
-"""A feed of changes to a table's rows, and the follower that keeps a copy up to date by it."""
+"""The change feed of a table, and the follower that reports its changes to callbacks."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -10,29 +10,30 @@
 
 from deckcourse.table import Row, TableFailure
 
-__all__ = ["LONG_WAIT_SECONDS", "ChangeFeed", "Changes", "Follower", "Snapshot"]
+__all__ = ["LONG_POLL_SECONDS", "ChangeFeed", "Changes", "Follower", "Snapshot"]
 
-# Where the answer is no such sign, calls are saved by a longer wait, seconds.
-LONG_WAIT_SECONDS = 5.0
-# How long an answer may take beyond that, seconds: a slow store takes 60 times its 4 ms.
-ANSWER_SECONDS = 0.8
-# Changes that come in quick succession are fetched together after this pause, seconds; where many
-# processes follow the same table, after up to the longest.
-PAUSE_SECONDS = 0.1
-LONGEST_PAUSE_SECONDS = 0.25
-# Between two tries while the store does not answer, seconds, and the same again by chance; doubled
-# after each try up to the longest, which is longer where many processes try.
-RETRY_SECONDS = 0.15
-LONGEST_RETRY_SECONDS = 0.3
-LARGEST_PROCESS_FACTOR = 3.0
+# Default wait of a long poll. Feeds whose answers show that the store is reachable wait for a
+# shorter time.
+LONG_POLL_SECONDS = 5.0
+# Timeout of an answer in addition to that wait: a slow store takes 60 times its usual 4 ms.
+ANSWER_TIMEOUT_SECONDS = 0.8
+# Pause after an answer, so that changes in quick succession are fetched together. It grows with the
+# number of processes that follow the table.
+BATCH_INTERVAL_SECONDS = 0.1
+MAX_BATCH_INTERVAL_SECONDS = 0.25
+# Backoff while the store does not answer, plus a random jitter of up to the same time. It doubles
+# after each attempt; its maximum grows with the number of processes.
+RETRY_BACKOFF_SECONDS = 0.15
+MAX_RETRY_BACKOFF_SECONDS = 0.3
+MAX_PROCESS_FACTOR = 3.0
 
 
 @dataclass(frozen=True)
 class Snapshot:
     """All rows of a table as of `version`.
 
-    Every change before `as_of`, a moment of trio's clock, is in; None where only the moment of the
-    question is known.
+    It contains every change before `as_of`, a time on trio's clock; None if the feed knows no later
+    time than that of the request.
     """
 
     rows: tuple[Row, ...]
@@ -42,12 +43,10 @@
 
 @dataclass(frozen=True)
 class Changes:
-    """Rows that changed, in order, up to `version`: key, value and version of each.
+    """The rows that changed up to `version`, in order, as tuples of key, value and version.
 
-    A row without value is gone.
-
-    `complete` is false where the store no longer has every change: a snapshot is due. `as_of` is
-    as in `Snapshot`.
+    The value of a deleted row is None. `complete` is false if the store no longer has every change,
+    so that a snapshot is needed. `as_of` is as in `Snapshot`.
     """
 
     rows: tuple[tuple[str, bytes | None, int], ...]
@@ -65,143 +64,154 @@
     async def changes(
         self, table: str, after: int, seconds: float
     ) -> Result[Changes, TableFailure]:
-        """Return what changed after a version, as soon as something did or time is over."""
+        """Return the changes after version `after`; wait up to `seconds` for the first one."""
 
 
 class Follower:
-    """Keeps up with one table.
+    """Follows one table and passes its rows and changes to callbacks.
 
     Args:
-      feed: where the table is read.
-      table: its name.
-      on_all: gets all rows whenever the table was read as a whole.
-      on_change: gets each change after that: key, value and version; no value where the row is
-        gone.
-      random: for the time between tries while the store does not answer.
-      on_contact: told False when the store stops answering and True when it answers again.
-      wait: returns how long one question waits for changes, seconds.
-      process_factor: returns how many times as many processes follow it as pauses are made for.
-      gathered: returns whether the feed itself brings changes together: no pause is due then.
-      paced: returns whether the feed itself decides when the store may be asked: pauses between
-        tries stay at the shortest then. Pauses that grew beside the feed's own delayed the news of
-        the store's return from 0.6 to 2.3 seconds at the slowest of 30 processes.
+      feed: the change feed that the table is read from.
+      table: the table's name.
+      on_snapshot: called with all rows after each snapshot.
+      on_change: called with the key, value and version of each later change; the value of a deleted
+        row is None.
+      random: source of the jitter of the retry backoff.
+      on_availability: called with False when the store becomes unavailable and with True when it
+        has recovered.
+      wait: returns how long a request waits for changes, seconds.
+      process_factor: returns the number of processes that follow the table, as a multiple of the
+        number that the pauses are made for.
+      gathered: returns whether the feed batches changes itself, so that no pause is needed.
+      paced: returns whether the feed itself paces requests to the store; the retry backoff does not
+        grow then. When it grew in addition to the feed's own backoff, the slowest of 30 processes
+        learned of the store's recovery after 2.3 seconds instead of 0.6.
     """
 
     def __init__(
         self,
         feed: ChangeFeed,
         table: str,
-        on_all: Callable[[Sequence[Row]], None],
+        on_snapshot: Callable[[Sequence[Row]], None],
         on_change: Callable[[str, bytes | None, int], None],
         random: Random,
-        on_contact: Callable[[bool], None] = lambda regained: None,
-        wait: Callable[[], float] = lambda: LONG_WAIT_SECONDS,
+        on_availability: Callable[[bool], None] = lambda available: None,
+        wait: Callable[[], float] = lambda: LONG_POLL_SECONDS,
         process_factor: Callable[[], float] = lambda: 1.0,
         gathered: Callable[[], bool] = lambda: False,
         paced: Callable[[], bool] = lambda: False,
     ) -> None:
-        self._retry = RETRY_SECONDS
+        self._retry_backoff = RETRY_BACKOFF_SECONDS
         self._feed = feed
         self._table = table
-        self._on_all = on_all
+        self._on_snapshot = on_snapshot
         self._on_change = on_change
         self._random = random
-        self._on_contact = on_contact
+        self._on_availability = on_availability
         self._wait = wait
         self._process_factor = process_factor
         self._gathered = gathered
         self._paced = paced
-        self._asking = trio.CancelScope()
+        self._cancel_scope = trio.CancelScope()
         self._version: int | None = None
         self._as_of = float("-inf")
-        self._lost = False
+        self._unavailable = False
 
     @property
     def as_of(self) -> float:
-        """Every change before this moment of trio's clock is known."""
+        """The time on trio's clock up to which every change is known."""
         return self._as_of
 
     @property
     def known(self) -> bool:
-        """Whether the table was read at least once."""
+        """Whether the table has been read at least once."""
         return self._as_of > float("-inf")
 
     @property
     def lost(self) -> bool:
-        """Whether the last question had no answer."""
-        return self._lost
+        """Whether the last request had no answer."""
+        return self._unavailable
 
     def ask_anew(self) -> None:
-        """Give up the question under way: another one showed that the store went or came."""
-        self._asking.cancel()
+        """Cancel the current request or backoff.
+
+        Called when another request has shown that the store became unavailable or recovered.
+        """
+        self._cancel_scope.cancel()
 
     async def run(self) -> None:
         """Follow until cancelled."""
         while True:
-            asked_at = trio.current_time()
-            as_of = await self._round(asked_at)
+            requested_at = trio.current_time()
+            as_of = await self._request_once(requested_at)
             if as_of is not None:
                 self._contact(as_of)
-                await self._gather()
+                await self._wait_for_batch()
             else:
-                if not self._lost:
-                    self._lost = True
-                    self._on_contact(False)
-                await self._pause()
+                if not self._unavailable:
+                    self._unavailable = True
+                    self._on_availability(False)
+                await self._back_off()
 
-    async def _gather(self) -> None:
-        """Let changes in quick succession come together."""
+    async def _wait_for_batch(self) -> None:
+        """Wait until the next request, so that changes in quick succession come in one batch."""
         if self._gathered():
             await trio.lowlevel.checkpoint()
             return
-        await trio.sleep(min(LONGEST_PAUSE_SECONDS, PAUSE_SECONDS * self._process_factor()))
+        await trio.sleep(
+            min(MAX_BATCH_INTERVAL_SECONDS, BATCH_INTERVAL_SECONDS * self._process_factor())
+        )
 
-    async def _pause(self) -> None:
-        """Wait before the next try, until another follower's success makes it due."""
+    async def _back_off(self) -> None:
+        """Wait out the retry backoff, or until another follower has reached the store."""
         if self._paced():
-            self._retry = RETRY_SECONDS
-        seconds = self._retry * (1 + self._random.random())
-        # Whoever waits long relies on another follower to notice the store's return.
-        longest = max(LONGEST_RETRY_SECONDS, self._wait() / 4)
-        self._retry = min(
-            2 * self._retry, longest * min(LARGEST_PROCESS_FACTOR, self._process_factor())
+            self._retry_backoff = RETRY_BACKOFF_SECONDS
+        seconds = self._retry_backoff * (1 + self._random.random())
+        # A follower with a long wait relies on another one to notice that the store has recovered.
+        max_backoff = max(MAX_RETRY_BACKOFF_SECONDS, self._wait() / 4)
+        self._retry_backoff = min(
+            2 * self._retry_backoff, max_backoff * min(MAX_PROCESS_FACTOR, self._process_factor())
         )
-        with trio.move_on_after(seconds) as self._asking:
+        with trio.move_on_after(seconds) as self._cancel_scope:
             await trio.sleep_forever()
 
     def _contact(self, as_of: float) -> None:
         self._as_of = max(self._as_of, as_of)
-        self._retry = RETRY_SECONDS
+        self._retry_backoff = RETRY_BACKOFF_SECONDS
+
+    def _report_recovery(self) -> None:
+        """Report that the store has recovered, if it was unavailable.
 
-    def _note_answer(self) -> None:
-        """Tell of the store's return before what it says is taken in: rows may have lapsed."""
-        if self._lost:
-            self._lost = False
-            self._on_contact(True)
+        Called before the answer is processed, since rows may have lapsed during the outage.
+        """
+        if self._unavailable:
+            self._unavailable = False
+            self._on_availability(True)
 
-    async def _round(self, asked_at: float) -> float | None:
-        """Ask once; return up to when all is known, None where there was no answer."""
+    async def _request_once(self, requested_at: float) -> float | None:
+        """Make one request; return the time up to which changes are known, None if it failed."""
         answer: Result = Failure(TableFailure.UNAVAILABLE)
-        # After a loss, the first answer should come at once: it ends the doubt.
-        wait = 0.0 if self._lost else self._wait()
-        with trio.move_on_after(wait + ANSWER_SECONDS) as self._asking:
+        # After a failure, don't wait for changes: an immediate answer shows that the store has
+        # recovered.
+        wait = 0.0 if self._unavailable else self._wait()
+        with trio.move_on_after(wait + ANSWER_TIMEOUT_SECONDS) as self._cancel_scope:
             if self._version is None:
                 answer = await self._feed.snapshot(self._table)
             else:
                 answer = await self._feed.changes(self._table, self._version, wait)
         if isinstance(answer, Success):
-            self._note_answer()
+            self._report_recovery()
         match answer:
             case Success(Snapshot(rows, version, as_of)):
                 self._version = version
-                self._on_all(rows)
-                return asked_at if as_of is None else as_of
+                self._on_snapshot(rows)
+                return requested_at if as_of is None else as_of
             case Success(Changes(rows, version, True, as_of)):
                 self._version = version
                 for row in rows:
                     self._on_change(*row)
-                return asked_at if as_of is None else as_of
+                return requested_at if as_of is None else as_of
             case Success(_):
                 self._version = None
-                return await self._round(asked_at)
+                return await self._request_once(requested_at)
         return None
