--- a/deckcourse/explain.py
+++ b/deckcourse/explain.py
@@ -1,7 +1,7 @@
-"""A request's decisions, gathered from the logs of several machines and put in order.
+"""The decisions about one request, collected from the logs of several machines and sorted by time.
 
-Reads lines as processes write them; what stands before a line's JSON (a machine's name, a time) is
-passed over, and so are lines that are none.
+Text before the JSON object of a line (such as a host name or a timestamp) is ignored, and so are
+lines without one.
 """
 
 from collections.abc import Iterable, Iterator
@@ -12,10 +12,10 @@
 
 __all__ = ["Decision", "Explanation", "explain"]
 
-# Machines may differ on the time of day by a few seconds: what changed so long before a request's
-# first line, by the writer's own clock, may have decided it.
-CLOCK_SECONDS = 5.0
-# Decisions that concern every request of a process.
+# Decisions of the same machines within this time before a request's first line may have influenced
+# it, since the clocks of machines may differ by a few seconds.
+CLOCK_TOLERANCE_SECONDS = 5.0
+# Kinds of decisions that concern every request of a process.
 SHARED = frozenset(
     {
         "accept-failed",
@@ -48,12 +48,12 @@
         "upstream-restarted",
     }
 )
-_HIDDEN = frozenset({"message_type", "node", "at", "request"})
+_COMMON_FIELDS = frozenset({"message_type", "node", "at", "request"})
 
 
 @dataclass(frozen=True)
 class Decision:
-    """One line of a log; `at` is the time of day of the machine that wrote it, seconds."""
+    """One line of a log; `at` is the wall-clock time of the machine that wrote it, Unix seconds."""
 
     node: str
     at: float
@@ -67,12 +67,12 @@
 
 @dataclass(frozen=True)
 class Explanation:
-    """What the logs tell of a request.
+    """What the logs say about a request.
 
     Attributes:
-      decisions: the request's own, in order.
-      surroundings: what the same machines decided for all their requests around that time.
-      missing: what the logs given lack.
+      decisions: the decisions about the request itself, sorted by time.
+      surroundings: decisions of the same machines at that time that concern all their requests.
+      missing: descriptions of what the given logs lack.
     """
 
     decisions: tuple[Decision, ...]
@@ -84,53 +84,53 @@
     """Return the decisions about a request.
 
     Args:
-      request: its id.
-      lines: the logs of one or more machines, in any order.
+      request: the request's id.
+      lines: the lines of the logs of one or more machines, in any order.
     """
-    every = list(_decisions(lines))
-    own = sorted((each for each, name in every if name == request), key=lambda each: each.at)
+    entries = list(_parse(lines))
+    own = sorted((each for each, name in entries if name == request), key=lambda each: each.at)
     if not own:
-        left_out = sum(each.kind == "log-bound" for each, _ in every)
-        hint = f"; {left_out} lines tell that others were left out" if left_out else ""
-        missing = f"no line names the request {request}{hint}; it went well, or other logs have it"
+        summaries = sum(each.kind == "log-bound" for each, _ in entries)
+        hint = f"; {summaries} lines report dropped lines" if summaries else ""
+        missing = f"no line names the request {request}{hint}; it succeeded, or other logs have it"
         return Explanation((), (), (missing,))
     nodes = {each.node for each in own}
-    first, last = own[0].at - CLOCK_SECONDS, own[-1].at
-    around = sorted(
+    first, last = own[0].at - CLOCK_TOLERANCE_SECONDS, own[-1].at
+    shared = sorted(
         (
             each
-            for each, name in every
+            for each, name in entries
             if not name and each.node in nodes and each.kind in SHARED and first <= each.at <= last
         ),
         key=lambda each: each.at,
     )
-    return Explanation(tuple(own), tuple(around), tuple(_missing(own, around)))
+    return Explanation(tuple(own), tuple(shared), tuple(_missing(own, shared)))
 
 
-def _missing(own: list[Decision], around: list[Decision]) -> Iterator[str]:
+def _missing(own: list[Decision], shared: list[Decision]) -> Iterator[str]:
     if not any(each.kind in ("refused", "unknown") for each in own):
-        yield "its end: it was answered, or the line was left out"
-    for each in around:
+        yield "the request's end: it was answered, or the line was dropped"
+    for each in shared:
         if each.kind == "log-bound":
-            yield f"{each.node} left lines out: {each.inputs.get('left_out')}"
+            yield f"{each.node} dropped lines: {each.inputs.get('left_out')}"
 
 
-def _decisions(lines: Iterable[str]) -> Iterator[tuple[Decision, str]]:
+def _parse(lines: Iterable[str]) -> Iterator[tuple[Decision, str]]:
     for line in lines:
         start = line.find("{")
         if start < 0:
             continue
         try:
-            found = msgspec.json.decode(line[start:].strip())
+            fields = msgspec.json.decode(line[start:].strip())
         except msgspec.DecodeError:
             continue
-        if not isinstance(found, dict) or "message_type" not in found:
+        if not isinstance(fields, dict) or "message_type" not in fields:
             continue
-        inputs = {name: value for name, value in found.items() if name not in _HIDDEN}
+        inputs = {name: value for name, value in fields.items() if name not in _COMMON_FIELDS}
         decision = Decision(
-            str(found.get("node", "?")),
-            float(found.get("at", 0.0)),
-            str(found["message_type"]),
+            str(fields.get("node", "?")),
+            float(fields.get("at", 0.0)),
+            str(fields["message_type"]),
             inputs,
         )
-        yield decision, str(found.get("request", ""))
+        yield decision, str(fields.get("request", ""))
--- a/deckcourse/host_clock.py
+++ b/deckcourse/host_clock.py
@@ -1,7 +1,7 @@
-"""The clock that the programs run on: it counts the time in which the machine was suspended.
+"""The clock that the programs run on, which includes time in which the machine was suspended.
 
-The steady clock stands while a machine is suspended, so that whatever is kept by it looks younger
-than it is: keys, leases, what peers told, times that upstreams asked for. The time of day jumps.
+The monotonic clock stops while a machine is suspended, so that idempotency keys, leases, peers'
+messages and upstreams' backoffs would seem younger than they are. The wall clock can jump.
 """
 
 import time
@@ -15,35 +15,35 @@
 
 _Result = TypeVar("_Result")
 
-# Systems without this clock don't tell how long they were suspended.
+# Systems without CLOCK_BOOTTIME don't report how long they were suspended.
 CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
-# A sleep that was under way lasts longer by the time of the suspension, seconds: no sleep is longer
-# than this, so that what was due is noticed as soon after it.
-LONGEST_SLEEP_SECONDS = 0.25
+# A suspension lengthens a sleep that is in progress. Sleeps are limited to this, so that deadlines
+# which passed during the suspension are noticed within this time after it.
+MAX_SLEEP_SECONDS = 0.25
 
 
 class HostClock(Clock):
-    """Seconds since the machine started, those in which it was suspended among them.
+    """Seconds since the machine started, including those in which it was suspended.
 
     Args:
-      read: returns the time of a clock of the system, seconds.
+      read: returns the time of the system clock with the given id, seconds.
     """
 
     def __init__(self, read: Callable[[int], float] | None = None) -> None:
         self._read = read or time.clock_gettime
 
     def start_clock(self) -> None:
-        """Do nothing: the system's clock runs."""
+        """Do nothing: the system clock always runs."""
 
     def current_time(self) -> float:
-        """Return the time, seconds."""
+        """Return the current time, seconds."""
         return self._read(CLOCK)
 
     def deadline_to_sleep_time(self, deadline: float) -> float:
-        """Return how long to sleep at the most where nothing is due before a deadline, seconds."""
-        return min(LONGEST_SLEEP_SECONDS, deadline - self.current_time())
+        """Return how long to sleep until a deadline, at most `MAX_SLEEP_SECONDS`."""
+        return min(MAX_SLEEP_SECONDS, deadline - self.current_time())
 
 
 def run_on_host_clock(main: Callable[..., Awaitable[_Result]], *args: object) -> _Result:
-    """Run a program's main function to its end, as `trio.run` does; return its result."""
+    """Run an async main function on the host clock, as `trio.run` does, and return its result."""
     return trio.run(main, *args, clock=HostClock())
