--- a/deckcourse/platform/__init__.py
+++ b/deckcourse/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: its names and messages, translated to the product's and back."""
+"""The adapter to the users' platform: translates its messages to the product's types and back."""
--- a/deckcourse/platform/dialect.py
+++ b/deckcourse/platform/dialect.py
@@ -1,4 +1,4 @@
-"""The platform's headers on callers' requests and runners' answers."""
+"""The platform's headers of callers' requests and runners' replies."""
 
 from deckcourse.gateway.dialect import CallerRequest, Dispatch, ReplyFacts
 from deckcourse.http1.client import UpstreamReply
@@ -25,10 +25,10 @@
 from deckcourse.platform.notices import notice_of
 from deckcourse.platform.starts import runner_id
 
-__all__ = ["PlatformDialect", "path_text"]
+__all__ = ["PlatformDialect", "format_path"]
 
-# Headers that only the system or a runner may set: callers' own are dropped.
-_RESERVED = frozenset(
+# Headers that only the gateway or a runner may set; they are dropped from callers' requests.
+_RESERVED_HEADERS = frozenset(
     {
         ACCOUNT,
         AT_FAULT,
@@ -44,19 +44,19 @@
         b"expect",
     }
 )
-# Priorities go from 0, which goes first, to this one.
+# Priorities range from 0, the highest, to this.
 LOWEST_PRIORITY = 9
-# Digits of a number in a header; a longer one says nothing of use.
-LONGEST_NUMBER = 15
-# Statuses that promise by themselves that nobody ran the request.
-_PROMISES = frozenset({MISDIRECTED})
+# Longer numbers in a header are ignored.
+MAX_NUMBER_DIGITS = 15
+# Statuses which by themselves guarantee that the request was not executed.
+_NOT_EXECUTED_STATUSES = frozenset({MISDIRECTED})
 
 
 class PlatformDialect:
-    """Reads and writes the platform's headers."""
+    """Parses and builds the platform's headers."""
 
     def read(self, message: IncomingRequest) -> CallerRequest:
-        """Return what a caller's headers say."""
+        """Return a caller's request with the parsed values of its headers."""
         headers = message.headers
         scheme, _, key = header_value(headers, AUTHORIZATION).partition(b" ")
         deadline = _number(header_value(headers, DEADLINE_MS))
@@ -71,52 +71,52 @@
         )
 
     def headers_for(self, request: CallerRequest, dispatch: Dispatch) -> Headers:
-        """Return the headers with which a request goes to a runner.
+        """Return the headers of a request to a runner.
 
         Args:
-          request: as the caller sent it; its headers that belong to the system are dropped.
-          dispatch: where it goes, and what the runner is told of it.
+          request: the request as the caller sent it; its reserved headers are dropped.
+          dispatch: the instance that the request is sent to, and the values of further headers.
         """
         message = request.message
-        kept = [each for each in end_to_end(message.headers) if not self._is_dropped(each)]
+        sent_headers = [each for each in end_to_end(message.headers) if not self._is_dropped(each)]
         if dispatch.last_event is not None:
-            kept = [each for each in kept if each[0] != LAST_EVENT_ID]
-            kept.append((LAST_EVENT_ID, str(dispatch.last_event).encode()))
+            sent_headers = [each for each in sent_headers if each[0] != LAST_EVENT_ID]
+            sent_headers.append((LAST_EVENT_ID, str(dispatch.last_event).encode()))
         milliseconds = max(1, int(dispatch.seconds * 1000))
-        kept.append((DEADLINE_MS, str(milliseconds).encode()))
-        kept.append((EXPECTED_INSTANCE, runner_id(dispatch.instance).encode()))
+        sent_headers.append((DEADLINE_MS, str(milliseconds).encode()))
+        sent_headers.append((EXPECTED_INSTANCE, runner_id(dispatch.instance).encode()))
         if dispatch.account:
-            kept.append((ACCOUNT, dispatch.account.encode()))
+            sent_headers.append((ACCOUNT, dispatch.account.encode()))
         if dispatch.priority is not None:
             level = max(0, min(LOWEST_PRIORITY, dispatch.priority))
-            kept.append((PRIORITY, str(level).encode()))
+            sent_headers.append((PRIORITY, str(level).encode()))
         if dispatch.path is not None:
-            kept.append((PATH, path_text(dispatch.path).encode()))
+            sent_headers.append((PATH, format_path(dispatch.path).encode()))
         if message.body or message.method not in (b"GET", b"HEAD"):
-            kept.append((b"content-length", str(len(message.body)).encode()))
-        return tuple(kept)
+            sent_headers.append((b"content-length", str(len(message.body)).encode()))
+        return tuple(sent_headers)
 
     def _is_dropped(self, header: tuple[bytes, bytes]) -> bool:
         name, value = header
         if name == AUTHORIZATION:
             return value.partition(b" ")[0].lower() == KEY_SCHEME
-        return name in _RESERVED
+        return name in _RESERVED_HEADERS
 
     def facts(self, reply: UpstreamReply) -> ReplyFacts:
-        """Return what the head of a runner's answer says."""
+        """Return the parsed headers of a runner's reply."""
         headers = reply.headers
         return ReplyFacts(
             header_value(headers, REQUEST_ID).decode("latin-1"),
-            reply.status in _PROMISES or bool(header_value(headers, NOT_RUN)),
+            reply.status in _NOT_EXECUTED_STATUSES or bool(header_value(headers, NOT_RUN)),
             header_value(headers, AT_FAULT).decode("latin-1"),
             notice_of(reply),
         )
 
 
-def path_text(path: LayerPath) -> str:
-    """Return a path as runners read it: IP:PORT=FROM-TO, joined by commas."""
+def format_path(path: LayerPath) -> str:
+    """Return a path in the runners' format: IP:PORT=FIRST-END for each stage, joined by commas."""
     return ",".join(f"{each.address}={each.first}-{each.end}" for each in path.parts)
 
 
 def _number(text: bytes) -> int | None:
-    return int(text) if text.isdigit() and len(text) <= LONGEST_NUMBER else None
+    return int(text) if text.isdigit() and len(text) <= MAX_NUMBER_DIGITS else None
--- a/deckcourse/platform/notices.py
+++ b/deckcourse/platform/notices.py
@@ -1,4 +1,4 @@
-"""What a runner asks for in the head of an answer: a pause, a request rate, or that it leaves."""
+"""Notices in the headers of a runner's reply: a backoff, a rate limit, or that it is leaving."""
 
 import re
 from collections.abc import Iterable
@@ -9,48 +9,48 @@
 
 __all__ = ["LONGEST_BACKOFF_SECONDS", "MAX_RATE", "notice_of"]
 
-# A longer time is taken for so long, seconds: no queue needs more, and an upstream that asked for
-# years by a fault of its own would serve nobody until its next start.
+# Longer backoffs are reduced to this. No queue needs more, and an upstream that asked for years by
+# mistake would otherwise serve nobody until its next start.
 LONGEST_BACKOFF_SECONDS = 600.0
-# A higher rate limit bounds nothing, requests a second.
+# Higher rate limits, in requests per second, are reduced to this: they would not limit anything.
 MAX_RATE = 1e6
-# A runner's refusals, which may tell for how long it wants nothing.
-_REFUSALS = frozenset({429, 503})
+# Statuses of refusals, which may ask for a backoff.
+_REFUSAL_STATUSES = frozenset({429, 503})
 _DECIMAL = re.compile(rb"\d{1,300}(\.\d{0,300})?|\.\d{1,300}")
 
 
 def notice_of(reply: UpstreamReply) -> UpstreamNotice:
-    """Return what the one that was asked asks for in turn; 421 may be anybody's answer."""
+    """Return the notice in a reply's headers, `ANONYMOUS` for a 421, which any runner may send."""
     if reply.status == MISDIRECTED:
         return ANONYMOUS
-    leaving = [_flag(value) for name, value in reply.headers if name == LEAVING]
-    asked: list[float | None] = []
-    if reply.status in _REFUSALS:
-        asked = [
+    leaving_flags = [_flag(value) for name, value in reply.headers if name == LEAVING]
+    backoffs: list[float | None] = []
+    if reply.status in _REFUSAL_STATUSES:
+        backoffs = [
             _decimal(value, LONGEST_BACKOFF_SECONDS)
             for name, value in reply.headers
             if name == RETRY_AFTER
         ]
     rates = [_decimal(value, MAX_RATE) for name, value in reply.headers if name == RATE_LIMIT]
     return UpstreamNotice(
-        min(LONGEST_BACKOFF_SECONDS, _longest(asked)),
-        any(leaving),
-        None in leaving or None in asked or None in rates,
+        min(LONGEST_BACKOFF_SECONDS, _max_backoff(backoffs)),
+        any(leaving_flags),
+        None in leaving_flags or None in backoffs or None in rates,
         min((each for each in rates if each is not None), default=None),
     )
 
 
-def _longest(asked: Iterable[float | None]) -> float:
-    """Return the longest of the times that can be read, 0 for none."""
-    return max((each for each in asked if each is not None), default=0.0)
+def _max_backoff(backoffs: Iterable[float | None]) -> float:
+    """Return the longest well-formed backoff, 0 if there is none."""
+    return max((each for each in backoffs if each is not None), default=0.0)
 
 
-def _decimal(value: bytes, largest: float) -> float | None:
-    """Return a decimal number, `largest` for one beyond it; None for a date or anything else."""
+def _decimal(value: bytes, maximum: float) -> float | None:
+    """Return a decimal number, limited to `maximum`; None for a date or anything else."""
     text = value.strip()
-    return min(largest, float(text)) if _DECIMAL.fullmatch(text) else None
+    return min(maximum, float(text)) if _DECIMAL.fullmatch(text) else None
 
 
 def _flag(value: bytes) -> bool | None:
-    """Return whether a flag is set; None for a value that is neither."""
+    """Return whether a flag is set, None if its value is malformed."""
     return {b"1": True, b"0": False}.get(value.strip())
--- a/deckcourse/platform/runners.py
+++ b/deckcourse/platform/runners.py
@@ -29,7 +29,7 @@
 from deckcourse.layers.orders import LayerReport, OrderResult
 from deckcourse.layers.paths import LayerPath
 from deckcourse.peers.purpose import Purpose
-from deckcourse.platform.dialect import path_text
+from deckcourse.platform.dialect import format_path
 from deckcourse.platform.names import (
     EXPECTED_INSTANCE,
     MISDIRECTED,
@@ -234,7 +234,7 @@
         self, upstream: Upstream, request_id: str, path: LayerPath
     ) -> tuple[MoveResult, str]:
         """Give a running request another path; the address at fault comes with PART_MISSING."""
-        body = {"op": "repath", "id": request_id, "path": path_text(path)}
+        body = {"op": "repath", "id": request_id, "path": format_path(path)}
         answer = await self._order(upstream, body, REPORT_SECONDS)
         if answer is None:
             return MoveResult.UNANSWERED, ""
--- a/deckcourse/platform/starts.py
+++ b/deckcourse/platform/starts.py
@@ -1,24 +1,24 @@
-"""The instance of one start of a runner, made from its id and its start, and back.
+"""Conversion between a runner's id with its start time and the instance name of an incarnation.
 
-A runner may start again under the id that it had. Inside, each start is an instance of its own, so
-that nothing known of one is taken for the other; on the wire only the id stands.
+A runner may restart under the same id. The gateway treats each incarnation as an instance of its
+own, so that data about one is never applied to another. Messages contain only the id.
 """
 
 __all__ = ["instance_of", "runner_id"]
 
-# Stands between the id and the start. An id that holds it gets one more where no start is told, so
-# that the last one always ends the id.
+# Separates the id from the start time. It is appended to an id that contains it and has no start
+# time, so that the id always ends at the last separator.
 _SEPARATOR = "@"
 
 
 def instance_of(runner: str, start: int | None) -> str:
-    """Return the name of one start of a runner; the id alone where it tells no start."""
+    """Return the instance name of an incarnation; `start` is None if the runner reports none."""
     if start is not None:
         return f"{runner}{_SEPARATOR}{start}"
     return f"{runner}{_SEPARATOR}" if _SEPARATOR in runner else runner
 
 
 def runner_id(instance: str) -> str:
-    """Return the id under which a runner goes over the wire."""
+    """Return the runner id of an instance, as messages contain it."""
     runner, separator, _ = instance.rpartition(_SEPARATOR)
     return runner if separator else instance
