--- a/deckcourse/platform/pages.py
+++ b/deckcourse/platform/pages.py
@@ -1,4 +1,4 @@
-"""The store's answers with rows, each row read for itself: an odd one hides none of the others."""
+"""Parsing of the store's replies. A malformed row doesn't prevent reading the others."""
 
 from base64 import b64decode
 from dataclasses import dataclass
@@ -7,22 +7,22 @@
 import msgspec
 from msgspec import Meta, Raw, Struct
 
-__all__ = ["Page", "StoredRow", "page_of"]
+__all__ = ["Page", "StoredRow", "parse_page"]
 
-# The value of a row that can't be read: nothing is decoded from it, so that it says nothing. The
-# row is there all the same, and what its key said before holds no longer.
-UNREADABLE = b""
-# The version of a row that names none.
+# The value of a malformed row, which decodes to nothing valid. The row itself still supersedes an
+# earlier one with the same key.
+UNREADABLE_VALUE = b""
+# The version of a row without a version.
 NO_VERSION = 0
-# The largest number that peers' frames carry.
-LARGEST_VERSION = 2**63 - 1
+# The largest number that messages between peers can hold.
+MAX_VERSION = 2**63 - 1
 
-_Version = Annotated[int, Meta(ge=0, le=LARGEST_VERSION)]
+_Version = Annotated[int, Meta(ge=0, le=MAX_VERSION)]
 
 
 @dataclass(frozen=True)
 class StoredRow:
-    """A row of the store; `gone` says that it was removed."""
+    """A row of the store; `gone` is true for a deleted one."""
 
     key: str
     version: int
@@ -33,14 +33,14 @@
 
 @dataclass(frozen=True)
 class Page:
-    """An answer with rows.
+    """The rows of one reply of the store.
 
     Attributes:
-      rows: those that have a key, one that can't be read with no value.
+      rows: the rows that have a key; a malformed one has an empty value.
       version: the newest version of the whole store.
-      more: whether further rows follow.
-      malformed: how many rows lack something.
-      empty: whether the answer holds no rows at all.
+      more: whether further pages follow.
+      malformed: the number of malformed rows, with and without a key.
+      empty: whether the reply contains no rows at all, malformed ones included.
     """
 
     rows: tuple[StoredRow, ...]
@@ -51,48 +51,48 @@
 
 
 class _Rows(Struct):
-    """An answer; `ver` is the newest version of the whole store."""
+    """A reply; `ver` is the newest version of the whole store."""
 
     rows: list[Raw] = []
     ver: _Version = NO_VERSION
     more: bool = False
 
 
-class _Place(Struct, kw_only=True):
-    """What of a row says which one it is; `tlsKey` is its key."""
+class _Key(Struct, kw_only=True):
+    """The table and the key (`tlsKey`) of a row."""
 
     tlsKey: str  # noqa: N815
     table: str = ""
 
 
-class _Numbered(_Place, kw_only=True):
-    """The version of a row beside that."""
+class _KeyAndVersion(_Key, kw_only=True):
+    """The table, key and version of a row."""
 
     ver: _Version
 
 
-class _Row(_Numbered, kw_only=True):
-    """A whole row; a removed one and one of a conflict have no value."""
+class _Row(_KeyAndVersion, kw_only=True):
+    """A complete row; deleted rows and the rows of a conflict have no value."""
 
     value: str | None = None
     gone: bool = False
     part: str = ""
 
 
-def page_of(body: bytes) -> Page | None:
-    """Return an answer's rows, None where it is no such answer."""
+def parse_page(body: bytes) -> Page | None:
+    """Return the rows of a reply, None if the reply is malformed."""
     try:
-        answer = msgspec.json.decode(body, type=_Rows)
+        reply = msgspec.json.decode(body, type=_Rows)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
         return None
-    found = [_stored(each) for each in answer.rows]
-    rows = tuple(row for row, _ in found if row is not None)
-    malformed = sum(not whole for _, whole in found)
-    return Page(rows, answer.ver, answer.more, malformed, not found)
+    parsed = [_parse_row(each) for each in reply.rows]
+    rows = tuple(row for row, _ in parsed if row is not None)
+    malformed = sum(not is_valid for _, is_valid in parsed)
+    return Page(rows, reply.ver, reply.more, malformed, not parsed)
 
 
-def _stored(data: Raw) -> tuple[StoredRow | None, bool]:
-    """Return a row, None without a key; and whether it is whole."""
+def _parse_row(data: Raw) -> tuple[StoredRow | None, bool]:
+    """Return a row, None if it has no key, and whether it is well-formed."""
     try:
         row = msgspec.json.decode(data, type=_Row)
         value = b64decode(row.value or "", validate=True)
@@ -102,12 +102,12 @@
 
 
 def _unreadable(data: Raw) -> StoredRow | None:
-    """Return a row of which only the key, or that and the version, can be read."""
-    for kind in (_Numbered, _Place):
+    """Return a malformed row with its key and, if readable, its version; None without a key."""
+    for row_type in (_KeyAndVersion, _Key):
         try:
-            place = msgspec.json.decode(data, type=kind)
+            row_key = msgspec.json.decode(data, type=row_type)
         except (msgspec.MsgspecError, ValueError, RecursionError):
             continue
-        version = getattr(place, "ver", NO_VERSION)
-        return StoredRow(place.tlsKey, version, UNREADABLE, False, place.table)
+        version = getattr(row_key, "ver", NO_VERSION)
+        return StoredRow(row_key.tlsKey, version, UNREADABLE_VALUE, False, row_key.table)
     return None
--- a/deckcourse/platform/program.py
+++ b/deckcourse/platform/program.py
@@ -1,4 +1,4 @@
-"""The gateway on the users' platform: its parts put together, and its signals."""
+"""The gateway program on the users' platform: component wiring and signal handling."""
 
 import os
 import signal
@@ -30,12 +30,12 @@
 
 __all__ = ["main"]
 
-# The exit code of a program whose settings can't be used (EX_CONFIG of sysexits.h).
-SETTINGS_EXIT = 78
+# The exit code for invalid settings (EX_CONFIG of sysexits.h).
+SETTINGS_EXIT_CODE = 78
 
 
 class _Process:
-    """The gateway with its settings, which may be read anew."""
+    """The gateway and its settings, which can be reloaded."""
 
     def __init__(self, path: str, settings: Settings, log: DecisionLog) -> None:
         self._path = path
@@ -50,7 +50,7 @@
         store = Store(pool, str(node.platform), counters.count)
         control = RunnerControl(pool)
         gateway = settings.gateway
-        # New at each start, so that plans of an earlier start of this process count as another's.
+        # Unique for each incarnation: plans of an earlier one count as those of another author.
         author = f"{node.name}/{uuid4().hex[:12]}"
         self._server = GatewayServer(
             GatewayNode(
@@ -82,12 +82,12 @@
     def _peer_ports(self) -> PeerPorts:
         node, gateway = self._settings.node, self._settings.gateway
         address = str(gateway.peer_listen)
-        started = int(time() * 1000)
-        own = Member(node.name, started, address, node.domain, gateway.peer_weight)
+        started_ms = int(time() * 1000)
+        own = Member(node.name, started_ms, address, node.domain, gateway.peer_weight)
         return PeerPorts(own, UdpDatagrams(address), lambda: self._settings.node.peers)
 
     async def run(self) -> None:
-        """Serve until SIGTERM."""
+        """Serve until SIGTERM or SIGINT."""
         async with trio.open_nursery() as nursery:
             await nursery.start(self._watch_signals)
             await self._server.run()
@@ -106,7 +106,7 @@
                     self._server.stop()
 
     def _reload(self) -> None:
-        """Take the settings anew; those that can't be used leave the old ones in force."""
+        """Reload the settings; if the new ones are invalid, the old ones stay in effect."""
         match read_settings(self._path):
             case Success(settings):
                 changed = settings != self._settings
@@ -120,8 +120,8 @@
     """Run the program."""
     path = os.environ.get(SETTINGS_VARIABLE, "")
     if not path:
-        print(f"{SETTINGS_VARIABLE}: want the path of a settings file", file=sys.stderr)
-        raise SystemExit(SETTINGS_EXIT)
+        print(f"{SETTINGS_VARIABLE}: must be set to the path of a settings file", file=sys.stderr)
+        raise SystemExit(SETTINGS_EXIT_CODE)
     match read_settings(path):
         case Success(settings):
             log = DecisionLog(settings.node.name)
@@ -132,4 +132,4 @@
         case Failure(problems):
             for problem in problems:
                 print(problem, file=sys.stderr)
-            raise SystemExit(SETTINGS_EXIT)
+            raise SystemExit(SETTINGS_EXIT_CODE)
--- a/deckcourse/platform/reports.py
+++ b/deckcourse/platform/reports.py
@@ -1,4 +1,4 @@
-"""Runners' reports and their answers to orders, as decoded from JSON."""
+"""The JSON format of runners' reports and of their replies to orders."""
 
 from typing import Annotated, TypeVar
 
@@ -7,19 +7,19 @@
 
 from deckcourse.platform.row_checks import Layer, problem_with_layers
 
-__all__ = ["OrderAnswer", "Report", "decoded", "held_range"]
+__all__ = ["OrderAnswer", "Report", "decode_message", "held_range"]
 
 _Decoded = TypeVar("_Decoded", bound=Struct)
 
-# Bounds on the numbers in a report; anything beyond them is malformed.
-LARGEST_COUNT = 2**53
-SLOWEST_PACE = 1e6
+# Limits of the numbers in a report; a report that exceeds them is malformed.
+MAX_COUNT = 2**53
+MAX_PACE = 1e6
 
-_Count = Annotated[int, Meta(ge=0, le=LARGEST_COUNT)]
+_Count = Annotated[int, Meta(ge=0, le=MAX_COUNT)]
 
 
-class _Waiting(Struct):
-    """A request that waits, and the address of the runner that it waits for."""
+class _StalledRequest(Struct):
+    """A stalled request, and the address of the runner that blocks it."""
 
     id: str
     address: str = ""
@@ -33,10 +33,11 @@
 
 
 class Report(Struct):
-    """A runner's report; `sequence` counts its orders, `pace` over 1 says how slow it is.
+    """A runner's report; a reply that lacks any of the first three fields is not a report.
 
-    An answer that lacks any of the first three fields is not a report. `layers` holds the ranges
-    held, None for none; `utilization` is true while an order is under way. `born` tells its start.
+    `sequence` is the number of orders taken, `pace` the factor by which the runner is slower than
+    usual, `layers` the held ranges (None for none) and `born` the runner's start time.
+    `utilization` is true while it executes an order.
     """
 
     sequence: _Count
@@ -44,24 +45,24 @@
     queued: _Count
     kvUsed: _Count = 0  # noqa: N815
     kvTotal: _Count = 0  # noqa: N815
-    pace: Annotated[float, Meta(ge=0.0, le=SLOWEST_PACE)] = 1.0
-    stalled: list[_Waiting] = []
+    pace: Annotated[float, Meta(ge=0.0, le=MAX_PACE)] = 1.0
+    stalled: list[_StalledRequest] = []
     layers: _LayerRange | list[_LayerRange] | UnsetType | None = UNSET
     utilization: bool = False
     born: int | UnsetType = UNSET
 
 
 class OrderAnswer(Struct):
-    """An order's answer; `address` names the runner whose part is missing."""
+    """The reply to an order; `address` is that of the runner whose part is missing."""
 
     address: str = ""
     born: int | UnsetType = UNSET
 
 
 def held_range(report: Report) -> tuple[int, int] | None:
-    """Return the first non-empty range that a runner reports, its end exclusive, (0, 0) for none.
+    """Return the first non-empty range that a runner reports, (0, 0) if there is none.
 
-    Return None if the report has no `layers` field or an invalid range.
+    The end is exclusive. Return None if the report has no `layers` field or an invalid range.
     """
     layers = report.layers
     if layers is UNSET:
@@ -73,9 +74,9 @@
     return (held[0].rangeStart, held[0].targetVersion) if held else (0, 0)
 
 
-def decoded(content: bytes, kind: type[_Decoded]) -> _Decoded | None:
-    """Return a body as the kind of message that is expected, None if it is malformed."""
+def decode_message(content: bytes, kind: type[_Decoded]) -> _Decoded | None:
+    """Return a decoded message of the expected kind, None if the body is malformed."""
     try:
         return msgspec.json.decode(content, type=kind)
     except (msgspec.MsgspecError, RecursionError):
-        return None  # Unknown fields may be nested without end.
+        return None  # Unknown fields may be nested arbitrarily deep.
--- a/deckcourse/platform/row_checks.py
+++ b/deckcourse/platform/row_checks.py
@@ -1,6 +1,6 @@
-"""What a row has to hold for it to name a runner: bytes that can be read, and values in bounds.
+"""Validation of the rows that describe runners: well-formed JSON and values within limits.
 
-Anybody may write rows beside the runners' own. One that holds anything else names no runner.
+Others than runners can write to the same table. Rows that fail validation are not used as runners.
 """
 
 import re
@@ -13,75 +13,76 @@
 from returns.result import Failure, Result, Success
 
 __all__ = [
-    "Born",
-    "Cold",
+    "StartTime",
+    "ColdMilliseconds",
     "HeldLayers",
     "Layer",
     "Name",
     "RunnerState",
     "Sequence64",
     "Slots",
-    "decoded",
+    "decode_row",
     "problem_with_key",
     "problem_with_layers",
 ]
 
 _Decoded = TypeVar("_Decoded")
 
-# Far beyond any model: layers of a range are counted one by one, and 10^9 fill the memory.
-MOST_LAYERS = 10_000
-# Far beyond any runner: a share of the places must not vanish.
-MOST_SLOTS = 1_000_000
-# The largest number that peers' frames carry.
-LARGEST_WHOLE = 2**63 - 1
-# Names go into groups' names, and those into keys of the store, which takes 200 bytes.
-LONGEST_NAME = 100
-# A key goes into a header as it is: visible letters, and no more than the store takes.
+# Far more than any model has. Layers of a range are counted one by one, and 10^9 of them would fill
+# the memory.
+MAX_LAYERS = 10_000
+# Far more than any runner has. One request's share of a runner's slots must not become negligible.
+MAX_SLOTS = 1_000_000
+# The largest number that messages between peers can hold.
+MAX_INTEGER = 2**63 - 1
+# Names become parts of group names, and these of keys of the store, which are limited to 200 bytes.
+MAX_NAME_LENGTH = 100
+# A key is sent unchanged in a header, so it must be visible ASCII. The store limits its length.
 _KEY = re.compile(r"[!-~]{1,200}")
 
-Name = Annotated[str, Meta(min_length=1, max_length=LONGEST_NAME)]
-Slots = Annotated[int, Meta(ge=1, le=MOST_SLOTS)]
-Layer = Annotated[int, Meta(ge=0, le=MOST_LAYERS)]
-Sequence64 = Annotated[int, Meta(ge=0, le=LARGEST_WHOLE)]
-# How much longer a runner stays slow, milliseconds.
-Cold = Annotated[int, Meta(ge=0)] | Annotated[float, Meta(ge=0)]
-# The time of a runner's start, Unix milliseconds.
-Born = Annotated[int, Meta(ge=0, le=LARGEST_WHOLE)]
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
+Slots = Annotated[int, Meta(ge=1, le=MAX_SLOTS)]
+Layer = Annotated[int, Meta(ge=0, le=MAX_LAYERS)]
+Sequence64 = Annotated[int, Meta(ge=0, le=MAX_INTEGER)]
+# The remaining time for which a runner is slow after its start, milliseconds.
+ColdMilliseconds = Annotated[int, Meta(ge=0)] | Annotated[float, Meta(ge=0)]
+# A runner's start time, Unix milliseconds.
+StartTime = Annotated[int, Meta(ge=0, le=MAX_INTEGER)]
 
 
 class RunnerState(StrEnum):
-    """The states that a runner may say of itself."""
+    """The states that a runner can report."""
 
     READY = "ready"
     LEAVING = "draining"
 
 
 class HeldLayers(Protocol):
-    """A range of layers, its end left out."""
+    """A range of layers; `targetVersion` is its exclusive end."""
 
     rangeStart: int  # noqa: N815
     targetVersion: int  # noqa: N815
 
 
-def decoded(value: bytes, kind: type[_Decoded]) -> Result[_Decoded, str]:
-    """Return what bytes hold, or what is wrong with them: whatever they are, nothing is raised."""
+def decode_row(value: bytes, kind: type[_Decoded]) -> Result[_Decoded, str]:
+    """Return the decoded value, or the error; no input raises an exception."""
     try:
-        # Fields that nobody reads are passed over by the decoder, whatever bytes they hold.
+        # The JSON decoder skips fields that `kind` lacks without checking that they are UTF-8.
         value.decode()
         return Success(msgspec.json.decode(value, type=kind))
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         return Failure(str(error))
     except RecursionError:
-        return Failure("nested too deep")
+        return Failure("nested too deeply")
 
 
 def problem_with_key(key: str) -> str:
-    """Return why a key names no runner, empty where it may."""
-    return "" if _KEY.fullmatch(key) else "the key can't stand in a header"
+    """Return why a key is not a valid runner id, an empty string if it is valid."""
+    return "" if _KEY.fullmatch(key) else "the key is not valid in a header"
 
 
 def problem_with_layers(ranges: Sequence[HeldLayers]) -> str:
-    """Return what is wrong with ranges of layers, empty where nothing is."""
+    """Return why ranges of layers are invalid, an empty string if they are valid."""
     if any(each.targetVersion < each.rangeStart for each in ranges):
         return "a range of layers ends before its start"
     return ""
--- a/deckcourse/platform/rows.py
+++ b/deckcourse/platform/rows.py
@@ -1,4 +1,4 @@
-"""Rows of the store, decoded once: the desired state, and what runners say of themselves."""
+"""Decoding of the store's rows: the operators' desired state and the runners' rows."""
 
 from collections.abc import Callable
 
@@ -19,14 +19,14 @@
 from deckcourse.layers.model import AcceleratorKind, ModelSpec
 from deckcourse.platform.names import DESIRED_STATE_KEY, OPERATOR_TABLE, RUNNER_TABLE
 from deckcourse.platform.row_checks import (
-    Born,
-    Cold,
+    ColdMilliseconds,
     Layer,
     Name,
     RunnerState,
     Sequence64,
     Slots,
-    decoded,
+    StartTime,
+    decode_row,
     problem_with_key,
     problem_with_layers,
 )
@@ -34,7 +34,7 @@
 
 __all__ = ["PlatformRows"]
 
-_KINDS = {
+_ROUTE_KINDS = {
     "idempotent": RouteKind.REPEATABLE,
     "non_idempotent": RouteKind.AT_MOST_ONCE,
     "streaming": RouteKind.STREAM,
@@ -42,14 +42,14 @@
 
 
 class _Backend(Struct):
-    """A service that takes a share of a route's requests, by weight."""
+    """A service that receives a share of a route's requests, proportional to its weight."""
 
     service: str
     weight: float = 1.0
 
 
 class _Route(Struct):
-    """A route; `sloMs` is the time within which an answer has its full worth."""
+    """A route; `sloMs` is its latency objective, `gap_aim_ms` that between events of a stream."""
 
     name: str
     host: str
@@ -66,8 +66,11 @@
     gap_aim_ms: float = 0.0
 
 
-class _Kind(Struct):
-    """A card; `pace` multiplies the time of a step, `read_x` that of reading a prompt."""
+class _Accelerator(Struct):
+    """A kind of accelerator with `mb` of memory.
+
+    `pace` multiplies the time of a step, `read_x` that of reading a prompt.
+    """
 
     name: str
     mb: float
@@ -76,7 +79,7 @@
 
 
 class _Delay(Struct):
-    """The one-way delay between two zones, which the wire calls as it calls ends of a range."""
+    """The one-way delay between the zones `rangeStart` and `targetVersion`."""
 
     rangeStart: str  # noqa: N815
     targetVersion: str  # noqa: N815
@@ -90,15 +93,15 @@
     load_s: float = 10.0
 
 
-class _Usual(Struct):
-    """A service's requests in the mean, tokens."""
+class _UsualTokens(Struct):
+    """The mean length of a service's prompts and answers, tokens."""
 
     prompt: float = 770.0
     answer: float = 154.0
 
 
 class _Engine(Struct):
-    """The engines of a service; `kvTokenBytes` counts one token in all layers."""
+    """The engines of a service; `kvTokenBytes` is the KV cache of one token in all layers."""
 
     slots: int = 64
     models: list[_Model] = []
@@ -114,9 +117,9 @@
     act_bytes: float = 0.0
     pipe_mbps: float = 10_000.0
     loads_at_once: int = 4
-    kinds: list[_Kind] = []
+    kinds: list[_Accelerator] = []
     delays: list[_Delay] = []
-    usual: _Usual = field(default_factory=_Usual)
+    usual: _UsualTokens = field(default_factory=_UsualTokens)
 
 
 class _Service(Struct):
@@ -128,7 +131,7 @@
 
 
 class _Limits(Struct):
-    """What callers may send and how long they may take."""
+    """Limits of callers' requests: sizes and timeouts."""
 
     maxHeaderBytes: int = 16 * 1024  # noqa: N815
     maxBodyBytes: int = 1024 * 1024  # noqa: N815
@@ -137,7 +140,7 @@
 
 
 class _Tenant(Struct):
-    """A client account and the keys that open it."""
+    """A client account and its API keys."""
 
     name: str
     apiKeys: list[str] = []  # noqa: N815
@@ -145,7 +148,7 @@
 
 
 class _Config(Struct):
-    """The desired state as operators write it."""
+    """The desired state in the format that operators write."""
 
     version: int
     routes: list[_Route] = []
@@ -155,14 +158,14 @@
 
 
 class _LayerRange(Struct):
-    """The layers that a runner holds; `targetVersion` is the end of the range, left out."""
+    """A range of layers that a runner holds; `targetVersion` is its exclusive end."""
 
     rangeStart: Layer  # noqa: N815
     targetVersion: Layer  # noqa: N815
 
 
 class _RunnerModel(Struct):
-    """A model that a runner holds layers of."""
+    """A model whose layers a runner holds."""
 
     name: str
 
@@ -170,9 +173,9 @@
 class _Runner(Struct):
     """A runner's row.
 
-    `born` is the Unix millisecond of its start, which older deployments don't tell. Its `sequence`,
-    unlike that of a report, counts no orders. That, `version` and `coldLeftMs` are not used, but
-    where they are there, of another type, somebody else wrote the row.
+    `born` is its start time, Unix milliseconds, which older deployments don't report. `sequence`,
+    unlike that of a report, does not count orders. `sequence`, `version` and `coldLeftMs` are not
+    used, but a row with other types in them was not written by a runner.
     """
 
     service: Name
@@ -185,15 +188,15 @@
     layers: _LayerRange | list[_LayerRange] | None = None
     sequence: Sequence64 | None = None
     version: str | int | None = None
-    coldLeftMs: Cold | None = None  # noqa: N815
-    born: Born | UnsetType = UNSET
+    coldLeftMs: ColdMilliseconds | None = None  # noqa: N815
+    born: StartTime | UnsetType = UNSET
 
 
 class PlatformRows:
-    """The tables that the platform fills, and how their rows are read.
+    """The tables that the platform writes, and the decoding of their rows.
 
     Args:
-      is_address: returns whether a text is the address of a machine.
+      is_address: returns whether a string is a valid address.
     """
 
     operator_table = OPERATOR_TABLE
@@ -204,26 +207,26 @@
         self._is_address = is_address
 
     def desired_state(self, value: bytes) -> Result[DesiredState, str]:
-        """Return the desired state that a row holds, or what is wrong with it."""
+        """Return the desired state in a row's value, or why the value is invalid."""
         try:
             return (
-                decoded(value, _Config)
-                .map(_desired)
+                decode_row(value, _Config)
+                .map(_to_desired_state)
                 .alt(lambda problem: f"desired state: {problem}")
             )
         except KeyError as error:
             return Failure(f"desired state: {error}")
 
     def upstream(self, name: str, value: bytes) -> Result[Upstream, str]:
-        """Return the upstream that a row tells of, or what is wrong with the row."""
+        """Return the upstream that a row describes, or why the row is invalid."""
         problem = problem_with_key(name)
         if problem:
             return Failure(problem)
-        return decoded(value, _Runner).bind(lambda runner: self._upstream(name, runner))
+        return decode_row(value, _Runner).bind(lambda runner: self._upstream(name, runner))
 
     def _upstream(self, name: str, runner: _Runner) -> Result[Upstream, str]:
         if not self._is_address(runner.address):
-            return Failure("the address is none")
+            return Failure("the address is malformed")
         layers = runner.layers
         ranges = layers if isinstance(layers, list) else [layers] if layers else []
         problem = problem_with_layers(ranges)
@@ -249,7 +252,7 @@
         )
 
 
-def _desired(config: _Config) -> DesiredState:
+def _to_desired_state(config: _Config) -> DesiredState:
     return DesiredState(
         config.version,
         tuple(_route(each) for each in config.routes),
@@ -267,7 +270,7 @@
         route.name,
         route.host.lower(),
         route.pathPrefix,
-        _KINDS[route.kind],
+        _ROUTE_KINDS[route.kind],
         route.timeoutMs / 1000,
         route.sloMs / 1000,
         route.priority,
--- a/deckcourse/platform/runners.py
+++ b/deckcourse/platform/runners.py
@@ -38,7 +38,7 @@
     REQUEST_ID,
 )
 from deckcourse.platform.notices import notice_of
-from deckcourse.platform.reports import OrderAnswer, Report, decoded, held_range
+from deckcourse.platform.reports import OrderAnswer, Report, decode_message, held_range
 from deckcourse.platform.starts import runner_id
 
 __all__ = ["RunnerControl"]
@@ -219,7 +219,7 @@
                     # One that says something else than was asked is there.
                     spoke = spoke or failure.kind is FailureKind.MALFORMED
                     continue
-                report = decoded(content, Report)
+                report = decode_message(content, Report)
                 if report is None or status == MISDIRECTED:
                     spoke = True
                     continue
@@ -242,7 +242,7 @@
         if status in (200, 202):
             return MoveResult.MOVED, ""
         if status == 409:
-            fault = decoded(content, OrderAnswer)
+            fault = decode_message(content, OrderAnswer)
             return MoveResult.PART_MISSING, fault.address if fault is not None else ""
         return MoveResult.UNKNOWN_REQUEST, ""
 
@@ -265,9 +265,9 @@
         answer = await self._call(upstream, b"POST", ORDER, value, seconds, NAMELESS_ORDER)
         if answer is None or answer[0] == MISDIRECTED:
             return answer
-        if decoded(answer[1], Report) is not None:
+        if decode_message(answer[1], Report) is not None:
             return None
-        told = decoded(answer[1], OrderAnswer)
+        told = decode_message(answer[1], OrderAnswer)
         if told is not None and self._start_news(upstream, told.born) is not StartNews.SAME:
             return None
         return answer
@@ -333,7 +333,7 @@
             answer = await self._call(upstream, b"GET", REPORT, None, REPORT_SECONDS)
         if answer is None or answer[0] != 200:
             return None
-        report = decoded(answer[1], Report)
+        report = decode_message(answer[1], Report)
         if report is None or self._start_news(upstream, report.born) is not StartNews.SAME:
             return None
         return report
@@ -389,7 +389,7 @@
         """Pass a notice on, unless another start of the runner answered."""
         if notice.anonymous:
             return
-        told = decoded(content, OrderAnswer)
+        told = decode_message(content, OrderAnswer)
         born = told.born if told is not None else UNSET
         if self._start_news(asked, born) is StartNews.SAME:
             self._listener(asked.instance, notice, sent_at, True)
--- a/deckcourse/platform/store.py
+++ b/deckcourse/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store over HTTP, as the product's table and change feed."""
+"""The client of the platform's store: a table service and a change feed over HTTP."""
 
 from base64 import b64encode
 from collections.abc import Callable, Sequence
@@ -11,26 +11,27 @@
 from deckcourse.change_feed import Changes, Snapshot
 from deckcourse.http1.client import ConnectionPool
 from deckcourse.http1.message import ConnectionLostError, FailureKind
-from deckcourse.platform.pages import Page, StoredRow, page_of
+from deckcourse.platform.pages import Page, StoredRow, parse_page
 from deckcourse.table import Committed, Conflict, Row, TableFailure, Write
 
 __all__ = ["Store"]
 
-# Until when an answer that isn't a long wait may come, seconds: a slow store takes 60 times 4 ms.
-CALL_SECONDS = 1.0
-# The store's answers hold this many rows at the most.
-PAGE_ROWS = 500
-# Tables may have parts; the product's have only the nameless one.
-UNUSED_PART = ""
+# Timeout of a call, in addition to the wait of a long poll: a slow store takes 60 times its usual
+# 4 ms.
+CALL_TIMEOUT_SECONDS = 1.0
+# The store returns no more rows than this in one reply.
+MAX_PAGE_ROWS = 500
+# Tables of the store may be divided into named parts. Only the unnamed part is used.
+UNNAMED_PART = ""
 
 
 class Store:
-    """The one client of the platform's store; keys are `TABLE/KEY`, without parts.
+    """The client of the platform's store; keys have the form `TABLE/KEY`.
 
     Args:
-      pool: opens connections.
-      address: where the store is.
-      count: counts by name.
+      pool: the connection pool.
+      address: the address of the store.
+      count: increments the counter of the given name.
     """
 
     def __init__(
@@ -45,40 +46,41 @@
         rows = []
         for key in keys:
             table, _, name = key.partition("/")
-            query = {"table": table, "part": UNUSED_PART, "rangeStart": name, "limit": 1}
-            match await self._rows("/v1/rows-get", query, CALL_SECONDS):
+            query = {"table": table, "part": UNNAMED_PART, "rangeStart": name, "limit": 1}
+            match await self._rows("/v1/rows-get", query, CALL_TIMEOUT_SECONDS):
                 case Failure(failure):
                     return Failure(failure)
                 case Success(page):
-                    found = [each for each in page.rows if each.key == name]
-                    rows.append(_row(table, found[0]) if found else None)
+                    matches = [each for each in page.rows if each.key == name]
+                    rows.append(_row(table, matches[0]) if matches else None)
         return Success(tuple(rows))
 
     async def transact(self, writes: Sequence[Write]) -> Result[Committed | Conflict, TableFailure]:
-        """Do all writes or none."""
+        """Execute all writes in one transaction, or none of them."""
         body = msgspec.json.encode(_transaction(writes))
-        match await self._call(b"POST", "/v1/rows-tx", body, CALL_SECONDS):
-            case Success((200, answer)):
-                page = self._page(answer)
+        match await self._call(b"POST", "/v1/rows-tx", body, CALL_TIMEOUT_SECONDS):
+            case Success((200, reply_body)):
+                page = self._page(reply_body)
                 return page.map(lambda each: Committed((each.version,) * len(writes)))
-            case Success((412, answer)):
-                return self._page(answer).map(_conflict)
+            case Success((412, reply_body)):
+                return self._page(reply_body).map(_conflict)
             case Success((status, _)):
-                refused = status in (429, 503)
-                return Failure(TableFailure.UNAVAILABLE if refused else TableFailure.UNKNOWN)
+                is_refusal = status in (429, 503)
+                return Failure(TableFailure.UNAVAILABLE if is_refusal else TableFailure.UNKNOWN)
         return Failure(TableFailure.UNKNOWN)
 
     async def snapshot(self, table: str) -> Result[Snapshot, TableFailure]:
         """Return all rows of a table."""
         rows: list[Row] = []
         version: int | None = None
-        query: dict[str, object] = {"table": table, "part": UNUSED_PART, "limit": PAGE_ROWS}
+        query: dict[str, object] = {"table": table, "part": UNNAMED_PART, "limit": MAX_PAGE_ROWS}
         while True:
-            match await self._rows("/v1/rows-get", query, CALL_SECONDS):
+            match await self._rows("/v1/rows-get", query, CALL_TIMEOUT_SECONDS):
                 case Failure(failure):
                     return Failure(failure)
                 case Success(page):
-                    # Pages are of different moments: what changed since the first comes again.
+                    # Pages are read at different times. The snapshot gets the version of the first
+                    # one, so that later changes are read again from the change feed.
                     version = page.version if version is None else version
                     rows += [_row(table, each) for each in page.rows]
                     if not page.more or page.empty:
@@ -91,10 +93,10 @@
     async def changes(
         self, table: str, after: int, seconds: float
     ) -> Result[Changes, TableFailure]:
-        """Return what changed after a version, as soon as something did or time is over."""
+        """Return the changes after version `after`; wait up to `seconds` for the first one."""
         query = {"table": table, "afterRev": after, "waitMs": round(seconds * 1000)}
         target = f"/v1/rows-feed?{urlencode(query)}"
-        match await self._call(b"GET", target, b"", seconds + CALL_SECONDS):
+        match await self._call(b"GET", target, b"", seconds + CALL_TIMEOUT_SECONDS):
             case Success((200, body)):
                 return self._page(body).map(lambda page: _changes(page, after))
             case Success((410, _)):
@@ -110,8 +112,8 @@
         return Failure(TableFailure.UNAVAILABLE)
 
     def _page(self, body: bytes) -> Result[Page, TableFailure]:
-        """Return an answer's rows; one that can't be read at all counts as none."""
-        page = page_of(body)
+        """Return the rows of a reply; a malformed reply is a failure."""
+        page = parse_page(body)
         if page is None:
             self._count("malformed.page")
             return Failure(TableFailure.UNAVAILABLE)
@@ -122,7 +124,7 @@
     async def _call(
         self, method: bytes, target: str, body: bytes, seconds: float
     ) -> Result[tuple[int, bytes], TableFailure]:
-        """Make one call on a connection of its own; a lost answer ends that connection."""
+        """Make one call on a pooled connection, which is closed if the reply is lost."""
         headers = [(b"host", self._address.encode()), (b"content-length", str(len(body)).encode())]
         if body:
             headers.append((b"content-type", b"application/json"))
@@ -138,16 +140,17 @@
 
 
 def _next_start(page: Page, start: object) -> str | None:
-    """Return where the next page starts, None where this one doesn't say so."""
+    """Return the start of the next page, None if this page doesn't advance beyond `start`."""
     if not page.rows:
         return None
-    following = page.rows[-1].key + "\x00"
-    return following if following > str(start) else None
+    next_start = page.rows[-1].key + "\x00"
+    return next_start if next_start > str(start) else None
 
 
 def _changes(page: Page, after: int) -> Changes:
     changed = ((each.key, None if each.gone else each.value, each.version) for each in page.rows)
-    # Versions only rise: a page that names an older one would be asked for again and again.
+    # Versions only rise. An older version in a faulty page would make the follower fetch the same
+    # changes again and again.
     return Changes(tuple(changed), max(after, page.version))
 
 
@@ -165,11 +168,11 @@
     remove: list[dict[str, object]] = []
     for write in writes:
         table, _, key = write.key.partition("/")
-        place = {"table": table, "part": UNUSED_PART, "tlsKey": key}
+        row_key = {"table": table, "part": UNNAMED_PART, "tlsKey": key}
         if write.expected is not None:
-            expected.append({**place, "ver": write.expected})
+            expected.append({**row_key, "ver": write.expected})
         if write.value is None:
-            remove.append(place)
+            remove.append(row_key)
         else:
-            put.append({**place, "value": b64encode(write.value).decode()})
+            put.append({**row_key, "value": b64encode(write.value).decode()})
     return {"expectedRev": expected, "put": put, "remove": remove}
