--- a/deckcourse/platform/runners.py
+++ b/deckcourse/platform/runners.py
@@ -1,4 +1,4 @@
-"""Orders to runners and their reports."""
+"""Orders to runners, and queries of their reports."""
 
 from collections.abc import Awaitable, Callable
 from secrets import token_hex
@@ -43,98 +43,101 @@
 
 __all__ = ["RunnerControl"]
 
-# A runner answers a report within some 2 ms; one that takes longer is gone or cut off, seconds.
-REPORT_SECONDS = 0.15
-# The same for the answer to an order, seconds: later it is given again.
-ORDER_SECONDS = 0.12
-# Longest wait of an order for a rate limit token, and the pause between attempts, seconds.
-ORDER_PATIENCE_SECONDS = 1.0
-ADMISSION_PAUSE_SECONDS = 0.1
-# A wait that ends so much later than it should says that this process was paused, seconds.
-OWN_PAUSE_SECONDS = 0.03
-# The name of orders whose answers carry no id: a second one could be taken for the next order's.
+# A runner answers a query within about 2 ms. One that takes longer than this counts as lost.
+REPORT_TIMEOUT_SECONDS = 0.15
+# Timeout of an order's reply, after which the order is sent again.
+ORDER_TIMEOUT_SECONDS = 0.12
+# How long an order waits for a rate limit token, and the interval between its attempts.
+ORDER_TOKEN_TIMEOUT_SECONDS = 1.0
+TOKEN_RETRY_INTERVAL_SECONDS = 0.1
+# A wait that ends later than its timeout by more than this shows that this process was paused.
+MIN_PROCESS_PAUSE_SECONDS = 0.03
+# The name recorded for an order whose reply has no id. A duplicate of that reply could be taken for
+# the reply to a later order on the same connection.
 NAMELESS_ORDER = "\0order"
-# A connection that had such an order is closed where so many others are kept: each order in a row
-# takes another one, and fifty stayed open after as many.
-MOST_KEPT_AFTER_ORDERS = 2
-# Random bytes of a control call's id: no caller's request has the same.
+# A connection that had such an order is closed if this many other idle ones exist. Each order in
+# succession needs another connection: without the limit, fifty stayed open after fifty orders.
+MAX_IDLE_AFTER_ORDER = 2
+# Random bytes in the id of a control call, so that it differs from all ids of callers' requests.
 ID_BYTES = 8
-# A connection that something else took for a runner that ended is closed within so long, seconds.
-CLOSED_SECONDS = 0.01
+# A proxy that accepts connections for a runner that has exited closes them within this time.
+PROXY_CLOSE_TIMEOUT_SECONDS = 0.01
 
 
 class _NotAdmittedError(Exception):
-    """The rate limit of a runner left no token for a question or an order."""
+    """The runner's rate limit granted no token for a query or an order."""
 
 
-async def _always() -> bool:
-    """Admit every question."""
+async def _admit_all() -> bool:
+    """Admit every query and order."""
     return True
 
 
-class _OwnWait:
-    """A wait of this process, which may end later than it should."""
+class _TimedWait:
+    """A wait with a timeout, which ends late if this process is paused meanwhile."""
 
     def __init__(self, seconds: float) -> None:
         self.seconds = seconds
         self._deadline = trio.current_time() + seconds
 
     @property
-    def stood_still(self) -> bool:
-        """Whether this process stood still at its end: what came waits in its sockets."""
-        return trio.current_time() > self._deadline + OWN_PAUSE_SECONDS
+    def process_was_paused(self) -> bool:
+        """Whether this process was paused at the timeout: a reply may wait unread in its socket."""
+        return trio.current_time() > self._deadline + MIN_PROCESS_PAUSE_SECONDS
 
 
 class RunnerControl:
-    """Gives orders to runners and reads their reports.
+    """Sends orders to runners and queries their reports.
 
-    A runner may give an answer twice, the second time late, in the place of the next one on that
-    connection. An answer with the id of another call is therefore none. Where answers to control
-    calls carry no id, an order goes only on connections that had no order of late, and what reads
-    as a report is none to it; a report may then be an older one. An order that rests on it is
-    turned down, as it names the count; a load or a stall may be that of a moment ago.
+    A runner may send a late duplicate of a reply in place of the next reply on the same connection.
+    Replies with the id of another call are therefore ignored. If replies to control calls have no
+    id, an order is sent only on connections without a recent order, and a report is not accepted as
+    its reply. A report itself may then be an outdated duplicate: an order based on it is refused,
+    since it contains the order count, while a load or a stall may be slightly outdated.
 
-    A runner may have started again under its id since it was asked. What another start says is no
-    answer about the one that was asked; whoever judges starts hears of it.
+    A runner may have restarted under its id since the call was made. The reply of another
+    incarnation is ignored, after its start time has been passed to the callback of `judge_starts`.
     """
 
     def __init__(self, pool: ConnectionPool) -> None:
         self._pool = pool
         self._answer_times = AnswerTimes()
-        self._judge: Callable[[Upstream, int], StartNews] = lambda asked, start: StartNews.SAME
-        self._admission: Callable[[str, Purpose], Awaitable[bool]] = (
-            lambda instance, purpose: _always()
+        self._judge_start: Callable[[Upstream, int], StartNews] = (
+            lambda asked, start: StartNews.SAME
         )
-        self._listener: NoticeListener = lambda instance, notice, sent_at, is_question: None
+        self._admit: Callable[[str, Purpose], Awaitable[bool]] = (
+            lambda instance, purpose: _admit_all()
+        )
+        self._on_notice: NoticeListener = lambda instance, notice, sent_at, is_question: None
 
     def judge_starts(self, judge: Callable[[Upstream, int], StartNews]) -> None:
-        """Have the start in each answer judged: whether it is the one that was asked."""
-        self._judge = judge
+        """Register the callback that compares a reply's start time with the queried incarnation."""
+        self._judge_start = judge
 
     def listen(self, listener: NoticeListener) -> None:
-        """Register the listener for notices in answers to questions and orders."""
-        self._listener = listener
+        """Register the listener for notices in replies to queries and orders."""
+        self._on_notice = listener
 
     def admit(self, admission: Callable[[str, Purpose], Awaitable[bool]]) -> None:
-        """Register the admission check for questions and orders."""
-        self._admission = admission
+        """Register the admission check for queries and orders."""
+        self._admit = admission
 
     def _timeout(self, base_seconds: float) -> float:
-        """Return the timeout for an answer, seconds; above the base if recent answers are late."""
+        """Return the timeout of a reply, seconds; above the base if recent replies were late."""
         return self._answer_times.timeout(base_seconds, trio.current_time())
 
-    def _record_timeout(self, upstream: Upstream, wait: _OwnWait) -> None:
-        """Record that an answer timed out, unless a pause of this process delayed the wait."""
-        if not wait.stood_still:
+    def _record_timeout(self, upstream: Upstream, wait: _TimedWait) -> None:
+        """Record that a reply timed out, unless a pause of this process delayed the wait."""
+        if not wait.process_was_paused:
             now = trio.current_time()
             self._answer_times.record_timeout(upstream.instance, wait.seconds, now)
 
     def _start_news(self, asked: Upstream, born: int | UnsetType) -> StartNews:
-        """Return which start answered; one that isn't told counts as the one that was asked."""
-        return StartNews.SAME if born is UNSET else self._judge(asked, born)
+        """Return which incarnation replied; without a start time it counts as the queried one."""
+        return StartNews.SAME if born is UNSET else self._judge_start(asked, born)
 
     async def place(self, upstream: Upstream, assignment: Assignment, orders: int) -> OrderResult:
-        """Order what is assigned, if the runner has taken `orders` orders so far."""
+        """Order the assigned layers; accepted if the runner has taken `orders` orders so far."""
         body = {
             "op": "place",
             "rangeStart": assignment.first,
@@ -142,26 +145,26 @@
             "how": "cut" if assignment.at_once else "wait",
             "expectedRev": orders,
         }
-        answer = await self._order(upstream, body, ORDER_SECONDS, Purpose.ORDER)
+        answer = await self._order(upstream, body, ORDER_TIMEOUT_SECONDS, Purpose.ORDER)
         if answer is None:
             return OrderResult.UNANSWERED
         results = {200: OrderResult.HELD, 202: OrderResult.TAKEN, 409: OrderResult.CONFLICT}
         return results.get(answer[0], OrderResult.REFUSED)
 
     async def order_count(self, upstream: Upstream) -> int | None:
-        """Return how many orders a runner has taken, None without an answer."""
+        """Return the number of orders that a runner has taken, None without a reply."""
         report = await self._report_if_admitted(upstream, Purpose.ORDER)
         return None if report is None else report.sequence
 
     async def layer_report(self, upstream: Upstream) -> LayerReport | None:
-        """Return a runner's order count, layers and busy state, None without an answer."""
+        """Return a runner's order count, layers and busy state, None without a reply."""
         report = await self._report_if_admitted(upstream, Purpose.ORDER)
         if report is None:
             return None
         return LayerReport(report.sequence, held_range(report), report.utilization)
 
     async def stalled(self, upstream: Upstream) -> StallReport | None:
-        """Return the requests that wait at the first runner of their path, None unanswered."""
+        """Return the stalled requests whose first stage is this runner, None without a reply."""
         try:
             report = await self._report(upstream)
         except _NotAdmittedError:
@@ -171,79 +174,84 @@
         return StallReport({each.id: each.address for each in report.stalled}, report.pace)
 
     async def load(self, upstream: Upstream) -> LoadReport | None:
-        """Return what a runner has to do, None unanswered."""
+        """Return a runner's load, None without a reply."""
         report = await self._report_if_admitted(upstream)
         if report is None:
             return None
         return LoadReport(report.running, report.queued, report.kvUsed, report.kvTotal)
 
     async def pulse(self, upstream: Upstream, seconds: float) -> PulseReading:
-        """Ask a runner whether it is there; DEAD if its machine turns connections down."""
-        if not await self._admission(upstream.instance, Purpose.QUESTION):
+        """Probe a runner with a query; DEAD if its machine refuses connections."""
+        if not await self._admit(upstream.instance, Purpose.QUESTION):
             return PulseReading(Pulse.UNASKED)
         seconds = self._timeout(seconds)
-        wait = _OwnWait(seconds)
-        reading = await self._pulse_once(upstream, seconds)
+        wait = _TimedWait(seconds)
+        reading = await self._probe_once(upstream, seconds)
         if reading.pulse is Pulse.SILENT:
             self._record_timeout(upstream, wait)
-        if reading.pulse is Pulse.SILENT and wait.stood_still:
-            if not await self._admission(upstream.instance, Purpose.QUESTION):
+        if reading.pulse is Pulse.SILENT and wait.process_was_paused:
+            if not await self._admit(upstream.instance, Purpose.QUESTION):
                 return PulseReading(Pulse.UNASKED)
-            return await self._pulse_once(upstream, seconds)
+            return await self._probe_once(upstream, seconds)
         return reading
 
     async def reach(self, upstream: Upstream, seconds: float) -> Pulse:
-        """Return whether a runner takes connections: a plain one would run what it is sent."""
+        """Probe a runner by opening a connection only: some runners would execute any request."""
         with trio.move_on_after(self._timeout(seconds)):
             try:
                 connection = await self._pool.open(upstream.address)
             except ConnectionLostError:
                 return Pulse.DEAD
             try:
-                await trio.sleep(CLOSED_SECONDS)
+                await trio.sleep(PROXY_CLOSE_TIMEOUT_SECONDS)
                 return Pulse.ALIVE if connection.is_quiet() else Pulse.SILENT
             finally:
                 connection.abort()
         return Pulse.SILENT
 
-    async def _pulse_once(self, upstream: Upstream, seconds: float) -> PulseReading:
-        spoke = False
+    async def _probe_once(self, upstream: Upstream, seconds: float) -> PulseReading:
+        has_replied = False
         with trio.move_on_after(seconds):
-            # An idle connection may have been closed long ago; a second one tells.
+            # An idle connection may have been closed by the runner, so a failure is retried once.
             for attempt in range(2):
-                if attempt and not await self._admission(upstream.instance, Purpose.QUESTION):
-                    return PulseReading(Pulse.ALIVE if spoke else Pulse.UNASKED)
+                if attempt and not await self._admit(upstream.instance, Purpose.QUESTION):
+                    return PulseReading(Pulse.ALIVE if has_replied else Pulse.UNASKED)
                 try:
                     status, content = await self._exchange(upstream, b"GET", REPORT)
                 except ConnectionLostError as failure:
-                    # One that says something else than was asked is there.
-                    spoke = spoke or failure.kind is FailureKind.MALFORMED
+                    # A malformed reply shows that the runner is alive.
+                    has_replied = has_replied or failure.kind is FailureKind.MALFORMED
                     continue
                 report = decode_message(content, Report)
                 if report is None or status == MISDIRECTED:
-                    spoke = True
+                    has_replied = True
                     continue
-                news = self._start_news(upstream, report.born)
-                if news is StartNews.NEWER:
+                incarnation = self._start_news(upstream, report.born)
+                if incarnation is StartNews.NEWER:
                     return PulseReading(Pulse.DEAD)
-                return PulseReading(Pulse.ALIVE, report.pace if news is StartNews.SAME else 1.0)
-            return PulseReading(Pulse.ALIVE if spoke else Pulse.DEAD)
-        return PulseReading(Pulse.ALIVE if spoke else Pulse.SILENT)
+                return PulseReading(
+                    Pulse.ALIVE, report.pace if incarnation is StartNews.SAME else 1.0
+                )
+            return PulseReading(Pulse.ALIVE if has_replied else Pulse.DEAD)
+        return PulseReading(Pulse.ALIVE if has_replied else Pulse.SILENT)
 
     async def move(
         self, upstream: Upstream, request_id: str, path: LayerPath
     ) -> tuple[MoveResult, str]:
-        """Give a running request another path; the address at fault comes with PART_MISSING."""
+        """Move a running request to another path.
+
+        With PART_MISSING, the second value is the address of the runner whose part is missing.
+        """
         body = {"op": "repath", "id": request_id, "path": format_path(path)}
-        answer = await self._order(upstream, body, REPORT_SECONDS)
+        answer = await self._order(upstream, body, REPORT_TIMEOUT_SECONDS)
         if answer is None:
             return MoveResult.UNANSWERED, ""
         status, content = answer
         if status in (200, 202):
             return MoveResult.MOVED, ""
         if status == 409:
-            fault = decode_message(content, OrderAnswer)
-            return MoveResult.PART_MISSING, fault.address if fault is not None else ""
+            refusal = decode_message(content, OrderAnswer)
+            return MoveResult.PART_MISSING, refusal.address if refusal is not None else ""
         return MoveResult.UNKNOWN_REQUEST, ""
 
     async def _order(
@@ -253,10 +261,10 @@
         seconds: float,
         purpose: Purpose = Purpose.QUESTION,
     ) -> tuple[int, bytes] | None:
-        """Give an order where no answer without an id can be taken for the answer to it.
+        """Send an order on a connection where no duplicate reply can be taken for its reply.
 
         Returns:
-          The answer's status and body, None where there was none in time or another start gave it.
+          The reply's status and body, None if none came in time or another incarnation replied.
         """
         try:
             await self._wait_for_admission(upstream, purpose)
@@ -267,8 +275,11 @@
             return answer
         if decode_message(answer[1], Report) is not None:
             return None
-        told = decode_message(answer[1], OrderAnswer)
-        if told is not None and self._start_news(upstream, told.born) is not StartNews.SAME:
+        order_answer = decode_message(answer[1], OrderAnswer)
+        if (
+            order_answer is not None
+            and self._start_news(upstream, order_answer.born) is not StartNews.SAME
+        ):
             return None
         return answer
 
@@ -279,35 +290,35 @@
         target: bytes,
         value: object,
         seconds: float,
-        unlike: str | None = None,
+        call_name: str | None = None,
     ) -> tuple[int, bytes] | None:
-        """Return an answer's status and body, None where there was none in time."""
-        wait = _OwnWait(self._timeout(seconds))
+        """Make one call; return the reply's status and body, None if none came in time."""
+        wait = _TimedWait(self._timeout(seconds))
         try:
             with trio.move_on_after(wait.seconds):
-                return await self._exchange(upstream, method, target, value, unlike)
+                return await self._exchange(upstream, method, target, value, call_name)
         except ConnectionLostError:
-            return None  # The caller counts it: an answer that is missing is a value here.
+            return None  # A missing reply is a regular result, which the caller handles.
         self._record_timeout(upstream, wait)
         return None
 
     async def _wait_for_admission(self, upstream: Upstream, purpose: Purpose) -> None:
-        """Wait for a token; a question doesn't wait, an order does for a bounded time.
+        """Get a rate limit token; an order waits for a limited time, a query doesn't wait.
 
         Raises:
-          _NotAdmittedError: there was none in time.
+          _NotAdmittedError: no token was granted in time.
         """
-        patience = ORDER_PATIENCE_SECONDS if purpose is Purpose.ORDER else 0.0
-        deadline = trio.current_time() + patience
-        while not await self._admission(upstream.instance, purpose):
+        token_timeout = ORDER_TOKEN_TIMEOUT_SECONDS if purpose is Purpose.ORDER else 0.0
+        deadline = trio.current_time() + token_timeout
+        while not await self._admit(upstream.instance, purpose):
             if trio.current_time() >= deadline:
                 raise _NotAdmittedError
-            await trio.sleep(ADMISSION_PAUSE_SECONDS)
+            await trio.sleep(TOKEN_RETRY_INTERVAL_SECONDS)
 
     async def _report_if_admitted(
         self, upstream: Upstream, purpose: Purpose = Purpose.QUESTION
     ) -> Report | None:
-        """Return a runner's report, None without an answer or without a token."""
+        """Return a runner's report, None without a reply or without a token."""
         try:
             return await self._report(upstream, purpose)
         except _NotAdmittedError:
@@ -316,21 +327,21 @@
     async def _report(
         self, upstream: Upstream, purpose: Purpose = Purpose.QUESTION
     ) -> Report | None:
-        """Return a runner's report, None where there was none in time or of another start.
+        """Return a runner's report, None if none came in time or another incarnation replied.
 
-        Where this process itself stood still meanwhile, the answer may wait in its socket, and the
-        question is asked a second time.
+        If this process was paused at the timeout, the reply may have come unread, and the query is
+        retried once.
 
         Raises:
-          _NotAdmittedError: there was no token for the question.
+          _NotAdmittedError: no token was granted for the query.
         """
-        # Before the timeout starts, since a token may take longer than a healthy runner.
+        # Before the timeout starts, since a token may take longer than a healthy runner's reply.
         await self._wait_for_admission(upstream, purpose)
-        wait = _OwnWait(self._timeout(REPORT_SECONDS))
-        answer = await self._call(upstream, b"GET", REPORT, None, REPORT_SECONDS)
-        if answer is None and wait.stood_still:
+        wait = _TimedWait(self._timeout(REPORT_TIMEOUT_SECONDS))
+        answer = await self._call(upstream, b"GET", REPORT, None, REPORT_TIMEOUT_SECONDS)
+        if answer is None and wait.process_was_paused:
             await self._wait_for_admission(upstream, purpose)
-            answer = await self._call(upstream, b"GET", REPORT, None, REPORT_SECONDS)
+            answer = await self._call(upstream, b"GET", REPORT, None, REPORT_TIMEOUT_SECONDS)
         if answer is None or answer[0] != 200:
             return None
         report = decode_message(answer[1], Report)
@@ -344,38 +355,40 @@
         method: bytes,
         target: bytes,
         value: object = None,
-        unlike: str | None = None,
+        call_name: str | None = None,
     ) -> tuple[int, bytes]:
-        """Return an answer's status and body.
+        """Send a request and return the reply's status and body.
 
         Raises:
-          ConnectionLostError: there was none, or it is another call's.
+          ConnectionLostError: there was no reply, or it belongs to another call.
         """
         body = b"" if value is None else msgspec.json.encode(value)
-        own_id = token_hex(ID_BYTES)
+        call_id = token_hex(ID_BYTES)
         headers = [
             (b"host", upstream.address.encode()),
             (EXPECTED_INSTANCE, runner_id(upstream.instance).encode()),
-            (REQUEST_ID, own_id.encode()),
+            (REQUEST_ID, call_id.encode()),
         ]
         if body:
             headers.append((b"content-type", b"application/json"))
             headers.append((b"content-length", str(len(body)).encode()))
-        async with self._pool.lent(upstream.address, unlike=unlike) as connection:
+        async with self._pool.lent(upstream.address, unlike=call_name) as connection:
             sent_at = trio.current_time()
             reply = await connection.call(method, target, tuple(headers), body)
-            told_id = _id(reply)
+            reply_id = _id(reply)
             for _ in range(REMEMBERED_CALLS):
-                if told_id in (own_id, NAMELESS) or not connection.had_call(told_id):
+                if reply_id in (call_id, NAMELESS) or not connection.had_call(reply_id):
                     break
                 reply = await connection.next_reply()
-                told_id = _id(reply)
-            if told_id not in (own_id, NAMELESS):
-                raise ConnectionLostError(FailureKind.MALFORMED, "the answer is another call's")
-            connection.note_call(told_id)
-            if told_id == NAMELESS and unlike is not None:
-                connection.note_call(unlike)
-                if self._pool.idle(upstream.address) >= MOST_KEPT_AFTER_ORDERS:
+                reply_id = _id(reply)
+            if reply_id not in (call_id, NAMELESS):
+                raise ConnectionLostError(
+                    FailureKind.MALFORMED, "the reply belongs to another call"
+                )
+            connection.note_call(reply_id)
+            if reply_id == NAMELESS and call_name is not None:
+                connection.note_call(call_name)
+                if self._pool.idle(upstream.address) >= MAX_IDLE_AFTER_ORDER:
                     connection.retire()
             content = await reply.whole_body()
             answered_at = trio.current_time()
@@ -386,13 +399,13 @@
     def _apply_notice(
         self, asked: Upstream, notice: UpstreamNotice, content: bytes, sent_at: float
     ) -> None:
-        """Pass a notice on, unless another start of the runner answered."""
+        """Pass a notice to the listener, unless another incarnation of the runner replied."""
         if notice.anonymous:
             return
-        told = decode_message(content, OrderAnswer)
-        born = told.born if told is not None else UNSET
+        order_answer = decode_message(content, OrderAnswer)
+        born = order_answer.born if order_answer is not None else UNSET
         if self._start_news(asked, born) is StartNews.SAME:
-            self._listener(asked.instance, notice, sent_at, True)
+            self._on_notice(asked.instance, notice, sent_at, True)
 
 
 def _id(reply: UpstreamReply) -> str:
