--- a/features/foreign_rows.feature
+++ b/features/foreign_rows.feature
@@ -1,13 +1,13 @@
-Feature: What another writer leaves in the store or sends to peers names no upstream, and hides none
+Feature: Invalid rows in the store and malformed messages to peers add no upstream and hide none
 
-  Scenario Outline: A row <what> takes its upstream out of use, as one that is gone
+  Scenario Outline: An upstream whose row becomes one <what> is not used, as if the row were deleted
     Given two plain upstreams that work
     When the row of one becomes one <what>
     Then no new request goes there, its kept connections are closed, and requests are served
     And that is logged once, with its key, however often the row is read, and counted each time
     And it is used again as soon as its row is good
 
-    Examples: Fields that are missing
+    Examples: Missing fields
       | what                |
       | without service     |
       | without address     |
@@ -15,7 +15,7 @@
       | without slots       |
       | without state       |
 
-    Examples: Fields of another type, or that say nothing
+    Examples: Fields with another type or an invalid value
       | what                                    |
       | with service = 3                        |
       | with service = ""                       |
@@ -57,7 +57,7 @@
       | with layers = {"rangeStart": 0, "targetVersion": 1000000000} |
       | with layers = [{"rangeStart": 0, "targetVersion": 4}, {"rangeStart": 9, "targetVersion": 6}] |
 
-    Examples: Bytes that can't be read
+    Examples: Malformed bytes
       | what                     |
       | of no bytes              |
       | of half its bytes        |
@@ -68,23 +68,23 @@
       | of a list                |
       | of null                  |
 
-  Scenario Outline: A stream goes on while the row of its <part> upstream turns bad
-    Given two chains of upstreams with a stream under way
-    When the row of its <part> upstream turns bad
-    Then that stream is whole, from that upstream alone, and the next one takes the other chain
+  Scenario Outline: A stream continues after the row of its <part> upstream has become invalid
+    Given two chains of upstreams with a stream in flight
+    When the row of its <part> upstream becomes invalid
+    Then that stream completes on the same chain, and the next one takes the other chain
 
     Examples:
       | part   |
       | first  |
       | second |
 
-  Scenario: A row that turned bad while the store was away is none that lapsed
+  Scenario: A row that became invalid during an outage of the store does not count as lapsed
     Given two plain upstreams that work
-    When the store comes back, and the rows of both are bad
+    When the store recovers after an outage, and the rows of both are invalid
     Then no request goes to either
 
-  Scenario Outline: A row <what> is good
-    Then a runner's row <what> is good
+  Scenario Outline: A row <what> is valid
+    Then a runner's row <what> is valid
 
     Examples:
       | what                                    |
@@ -137,8 +137,8 @@
       | http://10.1.2.3:80  | bad     |
       | 10.1.2.3:٨٠         | bad     |
 
-  Scenario Outline: A key <what> names no upstream, since it can't stand in a header
-    Then a good row under a key <what> is bad
+  Scenario Outline: A row under a key <what> is invalid, since the key can't be sent in a header
+    Then a valid row becomes invalid under a key <what>
 
     Examples:
       | what              |
@@ -148,7 +148,7 @@
       | with other letters |
       | of 201 letters    |
 
-  Scenario Outline: A row <what> doesn't take the address of a good one: <way>
+  Scenario Outline: A row <what> doesn't take over the address of a valid one: <way>
     Given two plain upstreams that work
     When a row <what> claims the address of one by <way>
     Then both upstreams are used
@@ -165,27 +165,27 @@
       | that is good and soon gone  | the feed   |
       | that is good and soon bad   | the feed   |
 
-  Scenario: An upstream of a service that is named later is used from then on, for that alone
+  Scenario: An upstream of a service that is configured later is used from then on, for that service only
     Given two plain upstreams that work
-    When a third one's row is of a service that the desired state names only later
-    Then it is never asked for another service, and it is used once its service is named
+    When a third upstream has a service that is added to the desired state later
+    Then it gets no request for another service, and is used once its service is configured
 
-  Scenario: A row whose service is named nowhere is told of once, also where it was read before that
+  Scenario: A row of an unconfigured service is logged once, even if it was read before the desired state
     Given two plain upstreams that work
-    When a row of a service that is named nowhere is there before the first desired state
-    Then it is told of once, and not before
+    When a row of an unconfigured service exists before the first desired state
+    Then it is logged once, and not before the first desired state
 
-  Scenario: Of many bad rows, a bounded number of lines of bounded length is logged
+  Scenario: The number and the length of log lines about invalid rows are limited
     Given two plain upstreams that work
-    When 2000 rows with long keys and bad values come
-    Then at most 256 lines of at most 400 letters tell of them, and each is counted
+    When 2000 rows with long keys and invalid values are written
+    Then at most 256 log lines of at most 400 characters report them, and each is counted
     And requests are served
 
-  Scenario Outline: A page of the store holds a row <what>, beside good ones
+  Scenario Outline: A page of the store contains a row <what>, beside valid ones
     Given a store whose rows are "a", one <what>, and "z"
-    When the store is read, and followed from version 5
-    Then the rows "a" and "z" are there both times, and the feed goes on from version 9
-    And the bad row has <outcome>
+    When the table is read, and its changes after version 5
+    Then both contain the rows "a" and "z", and the feed continues from version 9
+    And the malformed row has <outcome>
 
     Examples:
       | what                     | outcome  |
@@ -204,17 +204,17 @@
       | whose value is cut       | no value |
       | whose removal is a text  | no value |
 
-  Scenario: A page whose last row has no key is followed by the next one all the same
+  Scenario: The page after one whose last row has no key is read
     Given a store of two pages, the first of which ends in a row without a key
-    When the store is read
-    Then the rows of both pages are there
+    When the table is read
+    Then the snapshot contains the rows of both pages
 
-  Scenario: A page on which no row has a key, and which says that there are more, ends the reading
+  Scenario: Reading a table ends at a page on which no row has a key
     Given a store whose pages hold only rows without a key
-    When the store is read
-    Then the reading fails after at most 3 questions
+    When the table is read
+    Then reading fails after at most 3 requests
 
-  Scenario Outline: A peer sends <what>
+  Scenario Outline: A malformed frame from a peer is rejected: <what>
     Then <what> of a peer are no frame
 
     Examples:
@@ -237,24 +237,24 @@
       | a compressed frame of 64 MiB of zeros   |
       | a frame of a million small rows         |
 
-  Scenario: A source that sends malformed frames is left and counted, and changes are heard elsewhere
+  Scenario: A source that sends malformed frames is counted and replaced by another one
     Given 6 processes of one domain over one store
     When they have settled and one that follows sends malformed frames to those that ask it
     Then its hearers count that and know of a change that follows within 2 seconds
 
-  Scenario: A question nested without end is none, and a report that can't be true isn't passed on
+  Scenario: A deeply nested request is rejected, and impossible reports are not forwarded
     Then a question with nested lists behind its last field is none
     And what a process tells of loads and moments that it holds is always a frame
 
-  Scenario: A moment that a peer tells of is never later than now
+  Scenario: A time in a peer's message that is later than now counts as now
     Then a frame that tells of tomorrow makes nothing known for later than now
 
-  Scenario: Whatever datagrams come, the exchange goes on
+  Scenario: The gossip continues whatever datagrams are received
     Given 4 processes in each of 1 domains that know only 1 seeds
     When foreign datagrams come to each of them
     Then each process still knows all of its domain, and at most 4096 others
 
-  Scenario Outline: A plan row that holds <what> is no plan, and the next plan can be written
+  Scenario Outline: A plan row that holds <what> is ignored, and the next plan can be written
     Then a plan row that holds <what> is no plan, and the next plan can be written
 
     Examples:
@@ -270,7 +270,7 @@
       | layers without bound       |
       | two orders to one upstream |
 
-  Scenario Outline: Whoever answers at an address, a report <what> is none
+  Scenario Outline: A report <what> is rejected
     Then a report <what> is none, and no question about it raises
 
     Examples:
@@ -287,7 +287,7 @@
       | with pace = -1                      |
       | with pace = 1e300                   |
 
-  Scenario Outline: Whatever is left in <place>, good rows hold and bad ones name nothing
+  Scenario Outline: Generated <place>: valid entries are used, and invalid ones are not
     Then <count> generated sets of <place> raise nothing, lose no good row and use no bad one
 
     Examples:
@@ -298,8 +298,8 @@
       | digests | 300   |
       | plans   | 200   |
 
-  Scenario: An upstream that moved away from an address stays when another one takes it
-    Then this holds after each of these rows
+  Scenario: An upstream that has moved to another address stays in use when another one takes its old address
+    Then the upstreams in use match the store after each of these rows
       | key | address     |
       | i-0 | 10.0.0.1:80 |
       | i-1 | 10.0.0.1:80 |
--- a/features/foreign_rows.py
+++ b/features/foreign_rows.py
@@ -1,4 +1,4 @@
-"""Rows and pages as another writer may leave them: by name for tables, generated for properties."""
+"""Valid and invalid rows and pages: by name for scenario tables, generated for property tests."""
 
 import json
 
@@ -17,16 +17,17 @@
 from deckcourse.platform.store import Store
 from deckcourse.table import MemoryTable, Row
 
-# Deeper than any decoder follows.
+# Nesting deeper than any decoder supports.
 DEEP = 100_000
 NESTED = b"[" * DEEP + b"]" * DEEP
+# A service of the first desired state, and one that is added later.
 NAMED, UNNAMED = "crm", "later"
 CONFIG = {"version": 1, "services": [{"name": NAMED}]}
 LATER_CONFIG = {"version": 2, "services": [{"name": NAMED}, {"name": UNNAMED}]}
 
 
 def good_row(address, service=NAMED, **fields):
-    """Return a row as a runner of a plain service writes it."""
+    """Return a valid row of a runner of a service without layers."""
     return {
         "service": service, "address": address, "zone": "x", "version": "v1", "slots": 6,
         "state": "ready", "coldLeftMs": 0, "sequence": 3, **fields,
@@ -34,23 +35,23 @@
 
 
 def bad_row(row, what):
-    """Return the bytes of a row that is changed as a table's cell says."""
-    whole = json.dumps(row).encode()
-    named = {
+    """Return the bytes of a row that is changed as a cell of a scenario table describes."""
+    encoded = json.dumps(row).encode()
+    cases = {
         "of no bytes": b"",
-        "of half its bytes": whole[: len(whole) // 2],
+        "of half its bytes": encoded[: len(encoded) // 2],
         "of bytes that are no text": b"\x80\xff\x00",
-        "with a field that is no text": whole[:-1] + b', "note": "\xff"}',
+        "with a field that is no text": encoded[:-1] + b', "note": "\xff"}',
         "of nested lists": NESTED,
-        "with nested lists beside": whole[:-1] + b', "note": ' + NESTED + b"}",
-        "of a list": b"[" + whole + b"]",
+        "with nested lists beside": encoded[:-1] + b', "note": ' + NESTED + b"}",
+        "of a list": b"[" + encoded + b"]",
         "of null": b"null",
     }
-    if what in named:
-        return named[what]
+    if what in cases:
+        return cases[what]
     field, is_set, value = what.removeprefix("with ").partition(" = ")
     if is_set:
-        # Python reads and writes NaN, which JSON doesn't know.
+        # Python's json module reads and writes NaN, which is not valid JSON.
         return json.dumps({**row, field: json.loads(value)}).encode()
     field = what.removeprefix("without ")
     assert field in row, what
@@ -58,12 +59,12 @@
 
 
 def reading(answer, follow=True):
-    """Return a table's snapshot, its changes after version 5 and how many questions that took."""
-    asked = []
+    """Return a table's snapshot, its changes after version 5 and the number of requests sent."""
+    targets = []
 
     async def handle(request, exchange):
-        asked.append(request.target)
-        assert len(asked) < 20, asked[:4]
+        targets.append(request.target)
+        assert len(targets) < 20, targets[:4]
         await exchange.whole(200, (), answer(request.target))
 
     async def work():
@@ -74,7 +75,7 @@
             snapshot = await store.snapshot("t")
             changes = await store.changes("t", 5, 1.0) if follow else None
             nursery.cancel_scope.cancel()
-        return snapshot, changes, len(asked)
+        return snapshot, changes, len(targets)
 
     return virtually(work)
 
@@ -85,7 +86,7 @@
     | strategies.dictionaries(strategies.text(max_size=5), inner, max_size=3),
     max_leaves=6,
 )
-# For each field, values that name no upstream.
+# Invalid values of each field.
 _BAD_VALUES = {
     "service": strategies.sampled_from(["", 3, None, ["crm"]]),
     "address": strategies.sampled_from(["", "1.2.3.4", "1.2.3.4:0", "x:1", "1.2.3.4:99999", 4]),
@@ -135,7 +136,7 @@
 
 
 def generated_rows():
-    """Return a strategy of what happens to rows: they change or go, or all are read, or named."""
+    """Return a strategy of steps: a row changes or goes, all are read, or a service is added."""
     row = _good_values() | _bad_values()
     change = strategies.tuples(strategies.just("row"), _KEYS, row)
     gone = strategies.tuples(strategies.just("gone"), _KEYS, strategies.none())
@@ -145,7 +146,7 @@
 
 
 class _Rows:
-    """What the store holds, and what should be known of it."""
+    """The rows of the store, and the upstreams that the intake should use because of them."""
 
     def __init__(self):
         self.counters = MemoryCounters()
@@ -186,7 +187,7 @@
             self.intake.upstream_rows(rows)
 
     def expected(self, service):
-        """Return who should be in use: the newest of a named service at each address."""
+        """Return the expected upstreams: at each address the newest of a configured service."""
         newest = {}
         oldest_first = sorted(self.stored.items(), key=lambda each: each[1][0])
         for key, (_, facts, _) in oldest_first:
@@ -196,7 +197,7 @@
 
 
 def check_rows(steps):
-    """Take in rows step by step; after each, those in use are those that the store tells of."""
+    """Apply the steps; after each one, the upstreams in use must be those that the store has."""
     rows = _Rows()
     rows.name(CONFIG)
     for each in steps:
@@ -207,12 +208,12 @@
 
 
 def generated_pages():
-    """Return a strategy of a page's rows, good and foreign, with the names of the good ones."""
+    """Return a strategy of a page's rows, valid and invalid, with the keys of the valid ones."""
     good = strategies.builds(
         lambda number: (f"t/g{number}", {"tlsKey": f"g{number}", "ver": number, "value": "eA=="}),
         strategies.integers(6, 9),
     )
-    odd = strategies.fixed_dictionaries(
+    invalid = strategies.fixed_dictionaries(
         {},
         optional={
             "tlsKey": strategies.just("odd") | _JSON,
@@ -221,13 +222,13 @@
             "gone": _JSON,
         },
     )
-    foreign = (odd | _JSON).map(_unlike_good)
+    foreign = (invalid | _JSON).map(_unlike_good)
     rows = strategies.lists(good | foreign.map(lambda row: (None, row)), max_size=8)
     return rows.map(lambda found: ({name for name, _ in found if name}, [row for _, row in found]))
 
 
 def _unlike_good(row):
-    """Return a foreign row; one under a good row's key would be that row."""
+    """Return an invalid row with a key that no valid row has."""
     if isinstance(row, dict) and str(row.get("tlsKey", "")).startswith("g"):
         return {**row, "tlsKey": "odd"}
     return row
--- a/features/mutants_foreign.py
+++ b/features/mutants_foreign.py
@@ -1,4 +1,4 @@
-"""Mutants of what keeps rows, pages and frames of others from doing harm."""
+"""Mutants of the protection against invalid rows, pages and frames."""
 
 import deckcourse.layers.plan_book as plan_book_module
 import deckcourse.peers.frames as frames_module
@@ -20,28 +20,28 @@
 
 
 def claims_end_for_good():
-    kept = ListedRows._settle
+    original = ListedRows._settle
 
     def settle(self, address):
         newest = self._newest(address)
         if newest is not None and newest.instance not in self._older:
-            kept(self, address)
+            original(self, address)
 
     def put(self, row, version):
         self._older = {key for key in self._claims.get(row.address, ()) if key != row.instance}
-        kept_put(self, row, version)
+        original_put(self, row, version)
 
-    kept_put = ListedRows.put
+    original_put = ListedRows.put
     ListedRows._older = frozenset()
     ListedRows._settle, ListedRows.put = settle, put
 
 
 def refused_rows_are_told_of_each_time():
-    kept = RefusedRows.note
+    original = RefusedRows.note
 
     def note(self, kind, key, reason):
         self._told.clear()
-        kept(self, kind, key, reason)
+        original(self, kind, key, reason)
 
     RefusedRows.note = note
 
--- a/features/steps/foreign_row_steps.py
+++ b/features/steps/foreign_row_steps.py
@@ -1,13 +1,15 @@
-"""Steps about rows of another writer.
+"""Steps about invalid rows that others than the upstreams wrote.
 
-An entry among the upstreams' may come from another writer. One with nested lists in a field that
-nobody reads ended the reading of all of them, again and again:
+They guard against these failures:
+
+- A row with deeply nested lists in an unused field made each reading of the table fail:
 
     RecursionError: maximum recursion depth exceeded while deserializing an object
 
-One whose state was a word that nobody knows counted as leaving, one that claimed the address of a
-good one took it away though nobody names its service, layers 0-1000000000 were counted one by one,
-and after a row that could not be read the one before it stayed in use.
+- A row with an unknown state counted as leaving.
+- A row of an unconfigured service took over the address of a valid one.
+- The layers 0-1000000000 of a row were counted one by one.
+- After a malformed row, the previous content of the row stayed in use.
 """
 
 import json
@@ -40,11 +42,11 @@
     "with other letters": "i-é",
     "of 201 letters": "i" * 201,
 }
-ASKED = 12
+REQUESTS = 12
 
 
 class Connections:
-    """The gateway's connections to upstreams that are open, by address."""
+    """Records the gateway's connections to upstreams and which of them are open."""
 
     def __init__(self, site):
         self.site = site
@@ -65,7 +67,7 @@
         return transport
 
     def open_at(self, address):
-        return sum(still for at, still in self.opened if at == address)
+        return sum(is_open for at, is_open in self.opened if at == address)
 
 
 @given("two plain upstreams that work")
@@ -76,13 +78,13 @@
     context.site.connections = Connections(context.site)
 
 
-async def ask_all(site, count=ASKED, route="again"):
-    """Ask so many times at once; return at which upstreams that ran."""
+async def ask_all(site, count=REQUESTS, route="again"):
+    """Send `count` requests at once; return the upstreams that executed them."""
     before = len(site.runs)
 
     async def ask_one(number):
-        got = await site.ask(route, name=f"r{before}-{number}")
-        assert got.status == 200, (got, site.lines[-5:])
+        reply = await site.ask(route, name=f"r{before}-{number}")
+        assert reply.status == 200, (reply, site.lines[-5:])
 
     async with trio.open_nursery() as nursery:
         for number in range(count):
@@ -90,12 +92,12 @@
     return {each.instance for each in site.runs[before:]}
 
 
-# What is said of a row that can't be used, and of one whose service isn't named yet.
+# Log event kinds for an invalid row, and for one whose service is not configured yet.
 KINDS = ("malformed", "unnamed")
 
 
 def lines_of(site, key):
-    """Return what the log says of one row."""
+    """Return the log entries about one row."""
     return [fields for kind, fields in site.lines if kind in KINDS and fields.get("key") == key]
 
 
@@ -107,20 +109,20 @@
 def row_becomes(context, what):
     async def story(site):
         assert await ask_all(site) == {"one", "two"}
-        bad = bad_row(site.runners["two"].row(), what)
+        invalid = bad_row(site.runners["two"].row(), what)
         site.kept_before = site.connections.open_at("two:1")
         counts = []
         for _ in range(3):
-            site.store.put_bytes("servers", "two", bad)
+            site.store.put_bytes("servers", "two", invalid)
             await trio.sleep(0.5)
             counts.append(counted(site))
         site.after = await ask_all(site)
         site.counts = counts
         site.kept = site.connections.open_at("two:1")
-        site.told = lines_of(site, "two")
+        site.logged = lines_of(site, "two")
         site.store.put("servers", "two", site.runners["two"].row())
         await trio.sleep(0.5)
-        site.mended = await ask_all(site)
+        site.after_repair = await ask_all(site)
 
     context.site.play(story)
 
@@ -133,23 +135,23 @@
 
 @then("that is logged once, with its key, however often the row is read, and counted each time")
 def logged_once(context):
-    assert len(context.site.told) == 1, context.site.told
-    assert context.site.told[0]["what"]
+    assert len(context.site.logged) == 1, context.site.logged
+    assert context.site.logged[0]["what"]
     assert context.site.counts == [1, 2, 3], context.site.counts
 
 
 @then("it is used again as soon as its row is good")
 def used_again(context):
-    assert context.site.mended == {"one", "two"}, context.site.mended
+    assert context.site.after_repair == {"one", "two"}, context.site.after_repair
 
 
-@given("two chains of upstreams with a stream under way")
+@given("two chains of upstreams with a stream in flight")
 def chains_with_stream(context):
     two_chains(context)
     context.site.events = 60
 
 
-@when("the row of its {part} upstream turns bad")
+@when("the row of its {part} upstream becomes invalid")
 def turns_bad(context, part):
     async def story(site):
         async def first():
@@ -171,7 +173,7 @@
     site.play(story)
 
 
-@then("that stream is whole, from that upstream alone, and the next one takes the other chain")
+@then("that stream completes on the same chain, and the next one takes the other chain")
 def stream_whole(context):
     site = context.site
     assert (site.got.status, site.got.whole) == (200, True), site.got
@@ -183,7 +185,7 @@
     assert spoilt not in {at for at, _, _ in runs["r2"].events[0][1]}, runs["r2"].events[0]
 
 
-@when("the store comes back, and the rows of both are bad")
+@when("the store recovers after an outage, and the rows of both are invalid")
 def back_and_bad(context):
     async def story(site):
         site.store.away = True
@@ -205,7 +207,7 @@
     assert [kind for kind, _ in context.site.lines if kind == "store-regained"]
 
 
-@then("a runner's row {what} is good")
+@then("a runner's row {what} is valid")
 def row_is_good(context, what):
     field, is_set, value = what.removeprefix("with ").partition(" = ")
     row = good_row("10.0.0.1:80")
@@ -230,7 +232,7 @@
     assert isinstance(found, Success if verdict == "good" else Failure), found
 
 
-@then("a good row under a key {what} is bad")
+@then("a valid row becomes invalid under a key {what}")
 def key_is(context, what):
     value = json.dumps(good_row("10.0.0.1:80")).encode()
     assert isinstance(PlatformRows().upstream("i-1", value), Success)
@@ -250,7 +252,7 @@
         if after:
             site.store.put_bytes("servers", "foreign", None if after == "gone" else b"?")
             await trio.sleep(0.5)
-        # Past the time in which rows that lapsed may come back.
+        # Later than lapsed rows may return.
         await trio.sleep(2.5)
         site.after = await ask_all(site)
 
@@ -262,7 +264,7 @@
     assert context.site.after == {"one", "two"}, context.site.after
 
 
-@when("a third one's row is of a service that the desired state names only later")
+@when("a third upstream has a service that is added to the desired state later")
 def named_later(context):
     async def story(site):
         site.add("three", "later").start()
@@ -280,14 +282,14 @@
     context.site.play(story)
 
 
-@then("it is never asked for another service, and it is used once its service is named")
+@then("it gets no request for another service, and is used once its service is configured")
 def used_for_its_own(context):
     site = context.site
     assert site.before == site.others == {"one", "two"}, (site.before, site.others)
     assert site.after == {"three"}
 
 
-@when("a row of a service that is named nowhere is there before the first desired state")
+@when("a row of an unconfigured service exists before the first desired state")
 def unnamed_before(context):
     context.site.config = None
     context.site.add("three", "nowhere")
@@ -298,22 +300,22 @@
         for version in (1, 2):
             site.store.put("op", "config", default_config(version))
             await trio.sleep(0.5)
-        site.told = lines_of(site, "three")
+        site.logged = lines_of(site, "three")
         site.counted = counted(site)
         site.used = await ask_all(site)
 
     context.site.play(story)
 
 
-@then("it is told of once, and not before")
+@then("it is logged once, and not before the first desired state")
 def told_once(context):
     site = context.site
-    assert not site.before and len(site.told) == 1, (site.before, site.told)
-    assert "nowhere" in site.told[0]["what"]
+    assert not site.before and len(site.logged) == 1, (site.before, site.logged)
+    assert "nowhere" in site.logged[0]["what"]
     assert site.counted == 2 and site.used == {"one", "two"}, (site.counted, site.used)
 
 
-@when("{count:d} rows with long keys and bad values come")
+@when("{count:d} rows with long keys and invalid values are written")
 def many_bad(context, count):
     async def story(site):
         for number in range(count):
@@ -328,11 +330,13 @@
     context.count = count
 
 
-@then("at most {lines:d} lines of at most {letters:d} letters tell of them, and each is counted")
-def few_lines(context, lines, letters):
-    told = [fields for kind, fields in context.site.lines if kind in KINDS]
-    assert 0 < len(told) <= lines, len(told)
-    assert max(len(json.dumps(each)) for each in told) <= letters
+@then(
+    "at most {lines:d} log lines of at most {length:d} characters report them, and each is counted"
+)
+def few_lines(context, lines, length):
+    logged = [fields for kind, fields in context.site.lines if kind in KINDS]
+    assert 0 < len(logged) <= lines, len(logged)
+    assert max(len(json.dumps(each)) for each in logged) <= length
     assert counted(context.site) >= context.count, counted(context.site)
 
 
@@ -386,17 +390,17 @@
     context.pages = lambda target: page([{"ver": 8}, 3], more=True)
 
 
-@when("the store is read, and followed from version 5")
+@when("the table is read, and its changes after version 5")
 def read_and_followed(context):
     context.snapshot, context.changes, _ = reading(context.pages)
 
 
-@when("the store is read")
+@when("the table is read")
 def only_read(context):
-    context.snapshot, _, context.asked = reading(context.pages, follow=False)
+    context.snapshot, _, context.requests = reading(context.pages, follow=False)
 
 
-@then('the rows "a" and "z" are there both times, and the feed goes on from version 9')
+@then('both contain the rows "a" and "z", and the feed continues from version 9')
 def good_rows_there(context):
     snapshot, changes = context.snapshot.unwrap(), context.changes.unwrap()
     assert Row("t/a", 7, b"a") in snapshot.rows and Row("t/z", 9, b"z") in snapshot.rows, snapshot
@@ -404,25 +408,25 @@
     assert snapshot.version == changes.version == 9
 
 
-@then("the bad row has {outcome}")
+@then("the malformed row has {outcome}")
 def bad_row_has(context, outcome):
-    rest = [each for each in context.changes.unwrap().rows if each[0] not in "az"]
+    changed = [each for each in context.changes.unwrap().rows if each[0] not in "az"]
     stored = [each for each in context.snapshot.unwrap().rows if each.key not in ("t/a", "t/z")]
     if outcome == "no key":
-        assert not rest and not stored, (rest, stored)
+        assert not changed and not stored, (changed, stored)
     else:
-        assert [(key, value) for key, value, _ in rest] == [("m", b"")], rest
+        assert [(key, value) for key, value, _ in changed] == [("m", b"")], changed
         assert [(each.key, each.value) for each in stored] == [("t/m", b"")], stored
 
 
-@then("the rows of both pages are there")
+@then("the snapshot contains the rows of both pages")
 def both_pages(context):
     assert [each.key for each in context.snapshot.unwrap().rows] == ["t/a", "t/z"]
 
 
-@then("the reading fails after at most {count:d} questions")
+@then("reading fails after at most {count:d} requests")
 def reading_fails(context, count):
-    assert isinstance(context.snapshot, Failure) and context.asked <= count
+    assert isinstance(context.snapshot, Failure) and context.requests <= count
 
 
 @then("{count:d} generated sets of rows raise nothing, lose no good row and use no bad one")
@@ -442,15 +446,15 @@
     def check(case):
         good, rows = case
         snapshot, changes, _ = reading(partial(lambda body, target: body, page(rows)))
-        told = {each.key for each in snapshot.unwrap().rows if each.value}
-        assert good <= told, (good, told)
+        keys = {each.key for each in snapshot.unwrap().rows if each.value}
+        assert good <= keys, (good, keys)
         assert good <= {f"t/{key}" for key, value, _ in changes.unwrap().rows if value}
         assert changes.unwrap().version == 9
 
     check()
 
 
-@then("this holds after each of these rows")
+@then("the upstreams in use match the store after each of these rows")
 def holds_after(context):
     rows = [(row["key"], row["address"]) for row in context.table]
     check_rows(
