--- a/features/day_files.py
+++ b/features/day_files.py
@@ -1,7 +1,7 @@
-"""Reads the days of our own in deploy/days/ and tells what is wrong with one.
+"""Validates the project's day files in deploy/days/.
 
-The bench refuses or leaves out a day that it can't read, without a test that fails. So the words
-that the days use are listed here, and a day that fits one deployment only is refused.
+The bench silently skips a day that it can't read. Therefore the words that days may use are listed
+here, and a day that is valid for one deployment only is refused.
 """
 
 import tomllib
@@ -10,16 +10,16 @@
 __all__ = ["KINDS", "day_problems"]
 
 DAY_FIELDS = {"name": str, "slot": str, "seed": int, "plan": list, "faults": list}
-# What stands for a deployment's first of each sort; its own names never stand in a day.
-PLACES = {"zone": "@z0", "to_zone": "@z0", "service": "@s0", "class": "@c0"}
+# Placeholders for a deployment's first zone, service and class; day files contain no real names.
+PLACEHOLDERS = {"zone": "@z0", "to_zone": "@z0", "service": "@s0", "class": "@c0"}
 NUMBERS = frozenset({"at", "for_s", "gap_s", "share", "count", "x"})
-# Seconds from the start of traffic: an entry that begins later may not end on a short day.
-LATEST = 30.0
+# Latest start, seconds after the start of traffic: a later entry may not end on a short day.
+MAX_AT_SECONDS = 30.0
 PLANNED = frozenset({"config_storm", "hup", "release", "revoke", "roll_term", "scale_in"})
 PLANNED |= {"scale_out"}
 ENGINE = frozenset({"across", "all", "dark", "domain", "gone", "joined"})
 MACHINES = frozenset({"giver", "leader", "meet", "power"})
-# The words that `how` may hold, by kind.
+# The words that `how` may contain, by kind.
 KINDS: Mapping[str, frozenset[str]] = {
     "answer_lost": frozenset({"reset"}),
     "applied_late": frozenset({"orders"}),
@@ -54,14 +54,14 @@
 
 
 def day_problems(name: str, text: str) -> list[str]:
-    """Tell what is wrong with a day file.
+    """Return the problems of a day file.
 
     Args:
-      name: The file's name without its ending.
-      text: What the file holds.
+      name: the file's name without its extension.
+      text: the file's content.
 
     Returns:
-      One line for each fault; none for a day that fits any deployment.
+      One line for each problem; an empty list for a day that is valid for any deployment.
     """
     try:
         day = tomllib.loads(text)
@@ -78,7 +78,7 @@
 def _head_problems(name: str, text: str, day: Mapping[str, object]) -> Iterator[str]:
     first = text.partition("\n")[0]
     if text.count("#") != 1 or not first.startswith("# ") or ": " not in first:
-        yield "its first line alone is a comment, with what it does and which promise it presses"
+        yield "its first line must be its only comment: what it does and which guarantee it tests"
     if day.get("name") != name:
         yield f"name {day.get('name')!r} is not the file's"
     for field in day.keys() ^ DAY_FIELDS.keys():
@@ -107,15 +107,15 @@
 
 
 def _field_problems(field: str, value: object) -> Iterator[str]:
-    if field in PLACES:
-        if value != PLACES[field]:
+    if field in PLACEHOLDERS:
+        if value != PLACEHOLDERS[field]:
             yield f"{field} {value!r} is a deployment's own name"
     elif field in NUMBERS:
         if isinstance(value, bool) or not isinstance(value, int | float) or value <= 0:
             yield f"{field} {value!r} is no number above 0"
         elif field == "share" and value > 1:
             yield f"share {value} is more than all"
-        elif field == "at" and value > LATEST:
-            yield f"at {value} is later than {LATEST}"
+        elif field == "at" and value > MAX_AT_SECONDS:
+            yield f"at {value} is later than {MAX_AT_SECONDS}"
     elif field not in ("kind", "how"):
         yield f"field {field} is unknown"
--- a/features/deploy.feature
+++ b/features/deploy.feature
@@ -1,9 +1,9 @@
-Feature: How it is run on the users' platform
+Feature: Deployment on the users' platform
 
-  Scenario: The settings template, filled with sample values, gives settings without a problem
-    Then the filled template is right and holds the values given
+  Scenario: The settings template, filled with sample values, gives valid settings
+    Then the filled template is valid and contains the given values
 
-  Scenario Outline: A filled template with <wrong> names the place and the remedy
+  Scenario Outline: A filled template with <wrong> is refused with the name of the setting
     Then the template with <value> for <field> is refused naming <named>
 
     Examples:
@@ -12,32 +12,32 @@
       | a bad listener    | listen.front        | here:80   | [gateway] listen        |
       | a word for a time | bounds.graceS       | long      | [gateway] stop_grace    |
 
-  Scenario: The program says what is wrong with its settings, and ends
-    Then without settings, with a missing file and with a wrong one the program exits with 78
+  Scenario: The program reports invalid settings and exits
+    Then without settings, with a missing file and with an invalid one the program exits with 78
 
-  Scenario Outline: A signal that comes while the program still loads: <signal>
-    Then a program that gets <signal> while it loads exits with <code>
+  Scenario Outline: A signal during the program's imports is handled: <signal>
+    Then a program that receives <signal> during its imports exits with <code>
 
     Examples:
       | signal  | code |
       | SIGHUP  | 78   |
       | SIGTERM | 0    |
 
-  # Guards against losing a SIGTERM during loading, after which the process serves until killed.
-  Scenario: SIGTERM ends the program while an imported module catches every exception
-    Then a program that gets SIGTERM while an import catches every exception exits with 0
+  # Guards against losing a SIGTERM during the imports, after which the process serves until killed.
+  Scenario: SIGTERM ends the program even if an imported module catches every exception
+    Then a program that receives SIGTERM while an import catches every exception exits with 0
 
-  Scenario: The platform's names stay in its folder
-    Then no module outside the platform folder holds a name of the platform's
+  Scenario: Names of the platform's protocol are used in its package only
+    Then no module outside the platform package contains a name of the platform's protocol
 
-  Scenario: What the deploy file builds is what the project declares
+  Scenario: The deploy file installs what the project declares
     Then each requirement of the deploy file is declared by the project with the same bounds
 
-  Scenario: Every day of our own fits any deployment
-    Then the folder of days holds days, and nothing is wrong with any
+  Scenario: Every day file of the project is valid for any deployment
+    Then the folder of days contains day files, and all of them are valid
 
-  Scenario Outline: A day with <wrong> is told
-    Then a day with <old> written as <new> has the problem: <problem>
+  Scenario Outline: A day file with <wrong> is invalid
+    Then a day file in which <old> is replaced by <new> has the problem: <problem>
 
     Examples:
       | wrong                      | old            | new             | problem                  |
--- a/features/logs.feature
+++ b/features/logs.feature
@@ -1,13 +1,13 @@
-Feature: Logs and counters tell what happened, and nothing that is secret
+Feature: Logs and counters record events and contain no secrets
 
-  Scenario: One action id goes from the caller's request to the upstream call
-    When a request with a prompt goes through a small site
-    Then the id of its log action is the one that the upstream was given
-    And neither the prompt nor the key is in any log line
+  Scenario: The upstream call carries the action id of the caller's request
+    When a request with a prompt is served by a small site
+    Then the id of its log action is the one that was sent to the upstream
+    And no log line contains the prompt or the key
 
-  Scenario: Counters go to statsd
-    Then a refusal is one packet at the statsd daemon
+  Scenario: Counters are sent to statsd
+    Then a refusal is sent as one packet to the statsd daemon
 
   Scenario: An operator with a wrong token is refused
-    When a request with a prompt goes through a small site
+    When a request with a prompt is served by a small site
     Then its operator was refused with a wrong token
--- a/features/steps/change_steps.py
+++ b/features/steps/change_steps.py
@@ -1,4 +1,4 @@
-"""Steps about changes of configuration and when they are in force."""
+"""Steps about configuration changes and the time when they take effect."""
 
 import trio
 from behave import given, then, when
--- a/features/steps/deploy_steps.py
+++ b/features/steps/deploy_steps.py
@@ -31,7 +31,7 @@
     "bounds.budgetSlack": "196",
     "bounds.budgetWindowS": "12",
 }
-# Names of the platform that are not also words of HTTP or of ours.
+# Names of the platform's protocol that neither HTTP nor the product uses.
 NAMES = re.compile(
     r"x-response-seal|x-not-executed|x-tenant|rows-(?:tx|get|feed)|rangeStart|targetVersion|tlsKey"
     r"|afterRev|expectedRev|DECKCOURSE_BOOT|/v1/(?:order|report|ready)\b",
@@ -40,10 +40,10 @@
 
 
 def filled(**changes):
-    """Return the template with values in its gaps, as the platform fills it."""
+    """Return the settings template with its placeholders filled in, as the platform does it."""
     values = {**VALUES, **changes}
     text = (ROOT / "deploy" / "settings.ini").read_text(encoding="utf-8")
-    return re.sub(r"\{\{([^}]+)\}\}", lambda gap: values[gap[1]], text)
+    return re.sub(r"\{\{([^}]+)\}\}", lambda placeholder: values[placeholder[1]], text)
 
 
 def read(text):
@@ -53,7 +53,7 @@
         return read_settings(file.name)
 
 
-@then("the filled template is right and holds the values given")
+@then("the filled template is valid and contains the given values")
 def template_right(context):
     match read(filled()):
         case Success(settings):
@@ -76,7 +76,7 @@
             raise AssertionError(other)
 
 
-@then("without settings, with a missing file and with a wrong one the program exits with 78")
+@then("without settings, with a missing file and with an invalid one the program exits with 78")
 def program_refuses(context):
     with tempfile.NamedTemporaryFile("w", suffix=".ini") as wrong:
         wrong.write("[node]\nname = a\n")
@@ -95,7 +95,7 @@
         assert "domain: missing" in done.stderr, done.stderr
 
 
-# Runs the program; its first import of its parts brings the signal.
+# Runs the program; the first import after the signal handlers are set sends the signal.
 SIGNALLED = """
 import os, runpy, signal, sys
 
@@ -110,7 +110,7 @@
 """
 
 
-@then("a program that gets {name} while it loads exits with {code:d}")
+@then("a program that receives {name} during its imports exits with {code:d}")
 def signalled_while_loading(context, name, code):
     done = subprocess.run(
         [sys.executable, "-c", SIGNALLED.format(name=name)],
@@ -124,7 +124,7 @@
     assert done.returncode == code, done
 
 
-# Replaces msgspec: sends SIGTERM during its import and catches anything the handler raises.
+# Replaces msgspec: sends SIGTERM during its import and catches everything that the handler raises.
 CATCH_ALL_MODULE = """
 import os
 import signal
@@ -139,7 +139,7 @@
 """
 
 
-@then("a program that gets SIGTERM while an import catches every exception exits with {code:d}")
+@then("a program that receives SIGTERM while an import catches every exception exits with {code:d}")
 def signalled_inside_catch_all(context, code):
     with tempfile.TemporaryDirectory() as folder:
         Path(folder, "msgspec.py").write_text(CATCH_ALL_MODULE, encoding="utf-8")
@@ -155,14 +155,14 @@
     assert done.returncode == code, done
 
 
-@then("no module outside the platform folder holds a name of the platform's")
+@then("no module outside the platform package contains a name of the platform's protocol")
 def names_stay(context):
     leaks = []
     for module in (ROOT / "deckcourse").rglob("*.py"):
         if module.parent.name != "platform":
-            found = NAMES.search(module.read_text(encoding="utf-8"))
-            if found:
-                leaks.append(f"{module.relative_to(ROOT)}: {found[0]}")
+            leak = NAMES.search(module.read_text(encoding="utf-8"))
+            if leak:
+                leaks.append(f"{module.relative_to(ROOT)}: {leak[0]}")
     assert not leaks, leaks
 
 
@@ -173,19 +173,19 @@
     assert lines and set(lines) <= set(project["dependencies"]), lines
 
 
-@then("the folder of days holds days, and nothing is wrong with any")
+@then("the folder of days contains day files, and all of them are valid")
 def days_right(context):
     files = sorted((ROOT / "deploy" / "days").iterdir())
     assert files and all(file.suffix == ".toml" for file in files), files
     problems = {
-        file.name: found
+        file.name: file_problems
         for file in files
-        if (found := day_problems(file.stem, file.read_text(encoding="utf-8")))
+        if (file_problems := day_problems(file.stem, file.read_text(encoding="utf-8")))
     }
     assert not problems, problems
 
 
-# A day without a fault, of which the scenarios spoil one thing each.
+# A valid day file. Each scenario invalidates one thing in it.
 DAY = """\
 # Some are lost: served by the others.
 name = "day"
@@ -201,13 +201,13 @@
 """
 
 
-@then("a day with {old} written as {new} has the problem: {problem}")
+@then("a day file in which {old} is replaced by {new} has the problem: {problem}")
 def day_refused(context, old, new, problem):
     assert not day_problems("day", DAY), day_problems("day", DAY)
     if old == "all its lines":
-        spoilt = "".join(line for line in DAY.splitlines(True) if not line.startswith("  {"))
+        invalid = "".join(line for line in DAY.splitlines(True) if not line.startswith("  {"))
     else:
         assert old in DAY, old
-        spoilt = DAY.replace(old, new)
-    found = day_problems("day", spoilt)
-    assert any(problem in each for each in found), found
+        invalid = DAY.replace(old, new)
+    found_problems = day_problems("day", invalid)
+    assert any(problem in each for each in found_problems), found_problems
--- a/features/steps/explain_steps.py
+++ b/features/steps/explain_steps.py
@@ -1,4 +1,4 @@
-"""Steps about explaining a request afterwards."""
+"""Steps about explaining a request from the logs."""
 
 import json
 
@@ -32,15 +32,15 @@
     context.explanation = explain(name, context.log_lines)
 
 
-@then("its {count:d} decisions come in order and the outage before them is named")
+@then("its {count:d} decisions are returned in order, with the outage before them")
 def in_order(context, count):
-    found = context.explanation
-    assert [each.kind for each in found.decisions] == ["try-failed", "unknown", "refused"]
-    assert len(found.decisions) == count
-    assert [(each.node, each.kind) for each in found.surroundings] == [("m1", "store-lost")]
+    explanation = context.explanation
+    assert [each.kind for each in explanation.decisions] == ["try-failed", "unknown", "refused"]
+    assert len(explanation.decisions) == count
+    assert [(each.node, each.kind) for each in explanation.surroundings] == [("m1", "store-lost")]
 
 
-@then("lines that are none, and other requests' lines, are left out")
+@then("malformed lines and other requests' lines are omitted")
 def others_left_out(context):
     assert "r2" not in str(context.explanation) and not context.explanation.missing
 
@@ -51,7 +51,7 @@
     assert "no line names the request r9" in context.explanation.missing[0]
 
 
-@when("a caller's request fails since {what}")
+@when("a caller's request fails because {what}")
 def fails(context, what):
     async def story(site):
         if what == "every upstream is gone":
@@ -75,8 +75,8 @@
     ]
 
 
-@then("the explanation of it names {cause}")
+@then("its explanation contains {cause}")
 def names_cause(context, cause):
-    found = explain("r1", context.log_lines)
-    told = " ".join(str(each) for each in (*found.surroundings, *found.decisions))
-    assert found.decisions and cause in told, told
+    explanation = explain("r1", context.log_lines)
+    text = " ".join(str(each) for each in (*explanation.surroundings, *explanation.decisions))
+    assert explanation.decisions and cause in text, text
--- a/features/steps/log_steps.py
+++ b/features/steps/log_steps.py
@@ -14,7 +14,7 @@
 from deckcourse.site import Site, SitePlan
 
 
-@when("a request with a prompt goes through a small site")
+@when("a request with a prompt is served by a small site")
 def small_site(context):
     lines: list[dict] = []
     actions: list[str] = []
@@ -50,7 +50,7 @@
     engine.stream = watched
 
 
-@then("the id of its log action is the one that the upstream was given")
+@then("the id of its log action is the one that was sent to the upstream")
 def same_action(context):
     (started,) = [
         line
@@ -61,7 +61,7 @@
     assert ids == {started["task_uuid"]}, (ids, started)
 
 
-@then("neither the prompt nor the key is in any log line")
+@then("no log line contains the prompt or the key")
 def nothing_secret(context):
     text = json.dumps(context.lines)
     assert context.lines
@@ -73,7 +73,7 @@
     assert "Authorization: Bearer TOKEN" in context.refusal, context.refusal
 
 
-@then("a refusal is one packet at the statsd daemon")
+@then("a refusal is sent as one packet to the statsd daemon")
 def statsd(context):
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as daemon:
         daemon.bind(("127.0.0.1", 0))
--- a/features/steps/suspended_steps.py
+++ b/features/steps/suspended_steps.py
@@ -1,4 +1,4 @@
-"""Steps about machines that are suspended: the steady clock stands, the other ones go on."""
+"""Steps about suspended machines, whose monotonic clock stops while the other clocks continue."""
 
 import http.client
 import importlib
@@ -25,13 +25,13 @@
     "deckcourse.entry_daemon",
     "deckcourse.controller_daemon",
 )
-READY_SECONDS = 20.0
-# Until a process that wakes has heard of the store again, without which no key opens, seconds.
-HEARD_SECONDS = 2.0
+READY_TIMEOUT_SECONDS = 20.0
+# Time for a resumed process to reach the store again; until then it accepts no key.
+STORE_CONTACT_SECONDS = 2.0
 
 
 def counts_suspensions():
-    """Return whether the programs' clock counts the time of suspensions."""
+    """Return whether the programs' clock includes the time of suspensions."""
     try:
         clock = importlib.import_module("deckcourse.host_clock")
     except ModuleNotFoundError:
@@ -40,13 +40,13 @@
 
 
 def suspend(clock, seconds=SUSPENDED_SECONDS):
-    """Suspend the machine: the hand that the programs read goes on, or it stands."""
+    """Simulate a suspension: the clock advances only if it is one that counts suspensions."""
     if counts_suspensions():
         clock.jump(seconds)
 
 
 def ask(port, key, name):
-    """Send one call to a process; return the status."""
+    """Send one request to a process; return the status."""
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=10)
     headers = {
         "Host": "h.example",
@@ -61,12 +61,12 @@
 
 
 async def until(condition):
-    with trio.fail_after(READY_SECONDS):
+    with trio.fail_after(READY_TIMEOUT_SECONDS):
         while not await condition():
             await trio.sleep(0.1)
 
 
-@when("a process is stopped for 6 seconds, its steady clock stands, and a key is taken away")
+@when("a process and its monotonic clock are stopped for 6 seconds, and a key is revoked")
 def process_suspended(context):
     async def play(site):
         async with trio.open_nursery() as nursery:
@@ -77,7 +77,7 @@
             await until(lambda: site.ready(entry))
             port = entry.port
             status = 0
-            with trio.fail_after(READY_SECONDS):
+            with trio.fail_after(READY_TIMEOUT_SECONDS):
                 while status != 200:
                     await trio.sleep(0.3)
                     status = await trio.to_thread.run_sync(ask, port, "key-0", "before")
@@ -101,7 +101,7 @@
             site.close()
 
 
-@then("a request under that key isn't served when the process wakes")
+@then("a request with that key isn't served after the process has resumed")
 def key_is_gone(context):
     assert context.status == 503 and not context.ran, (context.status, context.ran)
 
@@ -124,18 +124,18 @@
     await site.ask("again", name="r1")
     runner.behaviour = ""
     suspend(site.clock)
-    await trio.sleep(HEARD_SECONDS)
+    await trio.sleep(STORE_CONTACT_SECONDS)
     return await site.ask("again", name="r2")
 
 
 async def connection_opens(site):
-    usual = site.dial
+    original_dial = site.dial
 
     async def dial(address):
         if address == "p1:1":
             await trio.sleep(0.3)
             suspend(site.clock)
-        return await usual(address)
+        return await original_dial(address)
 
     site.dial = dial
     site.pool.forget("p1:1")
@@ -145,13 +145,13 @@
 async def runner_suspected(site):
     site.node.gateway.context.upstreams.suspect("p1", 4.0)
     suspend(site.clock)
-    await trio.sleep(HEARD_SECONDS)
+    await trio.sleep(STORE_CONTACT_SECONDS)
     if site.is_suspect("p1"):
         return Got()
     return await site.ask("again", name="r2")
 
 
-WHILE = {
+ACTIONS = {
     "the store can't be reached": store_dark,
     "the runners have asked for 3 seconds": runners_asked,
     "a connection is opened for a call of 1 second": connection_opens,
@@ -162,7 +162,7 @@
 @when("the machine is suspended for 6 seconds while {what}")
 def suspended_while(context, what):
     async def story(site):
-        context.got = await WHILE[what](site)
+        context.got = await ACTIONS[what](site)
 
     context.site.play(story)
 
@@ -183,22 +183,22 @@
     assert sent(context) and context.got.status == 200, context.got
 
 
-@when("the machine of one that asks another is suspended for 6 seconds with a frame in its way")
+@when("the machine of one with a source is suspended for 6 seconds with a frame in flight")
 def frame_waits(context):
     async def story(world):
         await trio.sleep(SETTLE_SECONDS)
-        asking = next(each for each in world.processes if not each.peers.feed.follows)
-        before = asking.peers.feed.seconds_behind
+        receiver = next(each for each in world.processes if not each.peers.feed.follows)
+        before = receiver.peers.feed.seconds_behind
         world.store.away = True
         suspend(world.clock)
-        context.behind = asking.peers.feed.seconds_behind - before
+        context.staleness = receiver.peers.feed.seconds_behind - before
 
     context.world.play(story)
 
 
-@then("what it knows is 6 seconds old")
+@then("its staleness has grown by 6 seconds")
 def knows_age(context):
-    assert context.behind >= SUSPENDED_SECONDS, context.behind
+    assert context.staleness >= SUSPENDED_SECONDS, context.staleness
 
 
 @when("the holder of a lease is suspended for 7 seconds")
@@ -217,12 +217,12 @@
     trio.run(play, clock=clock)
 
 
-@then("it holds no lease until it has one anew")
+@then("it holds no lease until it has acquired a new one")
 def not_held(context):
     assert context.held == (True, False), context.held
 
 
-@then("each program runs on a clock that goes on while the steady one stands")
+@then("each program runs on a clock that continues while the monotonic one is stopped")
 def programs_clock(context):
     assert counts_suspensions()
     for name in PROGRAMS:
--- a/features/suspended.feature
+++ b/features/suspended.feature
@@ -1,18 +1,18 @@
-Feature: A machine that was suspended knows that time has passed
+Feature: Processes on a machine that was suspended account for the time of the suspension
 
-  # A machine may be suspended for seconds: its steady clock doesn't count that time, CLOCK_BOOTTIME and
-  # the time of day do. Every moment was on the steady clock, so that all that a process knew looked
-  # younger than it was by the time that it had been suspended: a key that had been taken away meanwhile
-  # opened for up to 0.8 of the revocation time more. What settled it was a process that was stopped for
-  # 6 s with its steady clock standing, whose key was taken away in that time and which heard no more of
-  # the store: with 3 s in which a key must be gone it served a request under it after it woke.
+  # Guards against state that seems younger than it is after a suspension. The monotonic clock doesn't
+  # count the time in which a machine is suspended, CLOCK_BOOTTIME and the wall clock do. With all times
+  # on the monotonic clock, a key that was revoked meanwhile stayed valid for up to 0.8 of the revocation
+  # time more. A process was stopped for 6 s with its monotonic clock stopped, its key was revoked in that
+  # time and the store became unavailable: although a revocation must take effect within 3 s, the process
+  # served a request with the key after it had resumed.
 
   @processes
-  Scenario: A process on a suspended machine serves nothing under a key taken away meanwhile
-    When a process is stopped for 6 seconds, its steady clock stands, and a key is taken away
-    Then a request under that key isn't served when the process wakes
+  Scenario: After a suspension a process serves no request with a key that was revoked meanwhile
+    When a process and its monotonic clock are stopped for 6 seconds, and a key is revoked
+    Then a request with that key isn't served after the process has resumed
 
-  Scenario Outline: What is known after a suspension is as old as it is: <what>
+  Scenario Outline: A suspension counts towards the age of state and towards deadlines: <what>
     Given two chains of runners beside a plain one
     When the machine is suspended for 6 seconds while <what>
     Then <outcome>
@@ -24,14 +24,14 @@
       | a connection is opened for a call of 1 second   | that call isn't sent                        |
       | a runner is suspected for 4 seconds             | that runner is used again                   |
 
-  Scenario: What a peer told before a suspension is as old as it is
+  Scenario: A suspension counts towards the staleness of what a peer has sent before
     Given 6 processes of one domain over one store
-    When the machine of one that asks another is suspended for 6 seconds with a frame in its way
-    Then what it knows is 6 seconds old
+    When the machine of one with a source is suspended for 6 seconds with a frame in flight
+    Then its staleness has grown by 6 seconds
 
-  Scenario: A lease that lapsed in a suspension is not held
+  Scenario: A lease that expired during a suspension is not held
     When the holder of a lease is suspended for 7 seconds
-    Then it holds no lease until it has one anew
+    Then it holds no lease until it has acquired a new one
 
-  Scenario: The programs read a clock that counts suspensions
-    Then each program runs on a clock that goes on while the steady one stands
+  Scenario: The programs run on a clock that counts suspensions
+    Then each program runs on a clock that continues while the monotonic one is stopped
