--- a/deckcourse/change_feed.py
+++ b/deckcourse/change_feed.py
@@ -110,8 +110,8 @@
         self._on_availability = on_availability
         self._wait = wait
         self._process_factor = process_factor
-        self._gathered = gathered
-        self._paced = paced
+        self._is_batched = gathered
+        self._is_paced = paced
         self._cancel_scope = trio.CancelScope()
         self._version: int | None = None
         self._as_of = float("-inf")
@@ -155,7 +155,7 @@
 
     async def _wait_for_batch(self) -> None:
         """Wait until the next request, so that changes in quick succession come in one batch."""
-        if self._gathered():
+        if self._is_batched():
             await trio.lowlevel.checkpoint()
             return
         await trio.sleep(
@@ -164,7 +164,7 @@
 
     async def _back_off(self) -> None:
         """Wait out the retry backoff, or until another follower has reached the store."""
-        if self._paced():
+        if self._is_paced():
             self._retry_backoff = RETRY_BACKOFF_SECONDS
         seconds = self._retry_backoff * (1 + self._random.random())
         # A follower with a long wait relies on another one to notice that the store has recovered.
--- a/features/foreign_rows.feature
+++ b/features/foreign_rows.feature
@@ -165,7 +165,7 @@
       | that is good and soon gone  | the feed   |
       | that is good and soon bad   | the feed   |
 
-  Scenario: An upstream of a service that is configured later is used from then on, for that service only
+  Scenario: An upstream of a service that is configured later is used from then on, for it only
     Given two plain upstreams that work
     When a third upstream has a service that is added to the desired state later
     Then it gets no request for another service, and is used once its service is configured
@@ -298,7 +298,7 @@
       | digests | 300   |
       | plans   | 200   |
 
-  Scenario: An upstream that has moved to another address stays in use when another one takes its old address
+  Scenario: An upstream that changed its address stays in use when another one takes the old address
     Then the upstreams in use match the store after each of these rows
       | key | address     |
       | i-0 | 10.0.0.1:80 |
--- a/features/steps/foreign_row_steps.py
+++ b/features/steps/foreign_row_steps.py
@@ -161,9 +161,9 @@
             nursery.start_soon(first)
             await trio.sleep(0.3)
             at = site.paths_of("r1")[part == "second"][0]
-            site.spoilt = site.by_address(at).instance
-            bad = bad_row(site.runners[site.spoilt].row(), 'with state = "unknown"')
-            site.store.put_bytes("servers", site.spoilt, bad)
+            site.invalid = site.by_address(at).instance
+            row = bad_row(site.runners[site.invalid].row(), 'with state = "unknown"')
+            site.store.put_bytes("servers", site.invalid, row)
         await site.ask(name="r2")
 
     site = context.site
@@ -180,9 +180,9 @@
     assert [each.request for each in site.runs] == ["r1", "r2"], site.runs
     runs = {each.request: each for each in site.runs}
     assert [number for number, _ in runs["r1"].events] == list(range(1, site.events + 1))
-    spoilt = site.runners[site.spoilt].address
-    assert spoilt in {at for at, _, _ in runs["r1"].events[-1][1]}, runs["r1"].events[-1]
-    assert spoilt not in {at for at, _, _ in runs["r2"].events[0][1]}, runs["r2"].events[0]
+    address = site.runners[site.invalid].address
+    assert address in {at for at, _, _ in runs["r1"].events[-1][1]}, runs["r1"].events[-1]
+    assert address not in {at for at, _, _ in runs["r2"].events[0][1]}, runs["r2"].events[0]
 
 
 @when("the store recovers after an outage, and the rows of both are invalid")
@@ -308,7 +308,7 @@
 
 
 @then("it is logged once, and not before the first desired state")
-def told_once(context):
+def logged_once_after_state(context):
     site = context.site
     assert not site.before and len(site.logged) == 1, (site.before, site.logged)
     assert "nowhere" in site.logged[0]["what"]
--- a/features/steps/suspended_steps.py
+++ b/features/steps/suspended_steps.py
@@ -118,7 +118,7 @@
     return await site.ask("again", name="r2")
 
 
-async def runners_asked(site):
+async def runners_backing_off(site):
     runner = site.runners["p1"]
     runner.behaviour, runner.asks = "full", ("3",)
     await site.ask("again", name="r1")
@@ -153,7 +153,7 @@
 
 ACTIONS = {
     "the store can't be reached": store_dark,
-    "the runners have asked for 3 seconds": runners_asked,
+    "the runners have asked for 3 seconds": runners_backing_off,
     "a connection is opened for a call of 1 second": connection_opens,
     "a runner is suspected for 4 seconds": runner_suspected,
 }
