--- a/deckcourse/peers/__init__.py
+++ b/deckcourse/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What processes of one site tell each other: who is there, and changes of the store's tables."""
+"""State that the processes of a site share: the membership view and replicas of store tables."""
--- a/deckcourse/peers/crash.py
+++ b/deckcourse/peers/crash.py
@@ -1,30 +1,33 @@
-"""An upstream that ended under a request, as processes tell each other of it."""
+"""The crash record that processes exchange when an upstream crashes during a request."""
 
 from typing import Annotated
 
 import msgspec
 from msgspec import Meta
 
-__all__ = ["MOST_TOLD", "Crash"]
+__all__ = ["MAX_CRASHES_PER_DIGEST", "Crash"]
 
-# Crashes in one message between processes.
-MOST_TOLD = 16
-# Letters of an instance; a longer one would be no key of the store.
-LONGEST_INSTANCE = 150
+# Largest number of crashes in one digest.
+MAX_CRASHES_PER_DIGEST = 16
+# Largest length of an instance, in characters; a longer one is not a valid key of the store.
+MAX_INSTANCE_LENGTH = 150
 
-# More ends than anybody lets come together.
-MOST_ENDS = 1000
+# Upper bound on the crash count that another process may report.
+MAX_KNOWN_CRASHES = 1000
 
 _Identity = Annotated[str, Meta(pattern="^[0-9a-f]{32}$")]
-_Instance = Annotated[str, Meta(min_length=1, max_length=LONGEST_INSTANCE)]
+_Instance = Annotated[str, Meta(min_length=1, max_length=MAX_INSTANCE_LENGTH)]
 
 
 class Crash(msgspec.Struct, frozen=True, array_like=True):
-    """A start of an upstream that ended while it ran a request and had brought nothing of it.
+    """The crash of an upstream during a request of which it had returned no part.
 
-    `known_ends` is how many such ends were known when the request was sent there.
+    Attributes:
+      identity: the identity of the request.
+      instance: the incarnation that crashed.
+      known_ends: how many crashes under this request were known when it was sent there.
     """
 
     identity: _Identity
     instance: _Instance
-    known_ends: Annotated[int, Meta(ge=0, le=MOST_ENDS)] = 0
+    known_ends: Annotated[int, Meta(ge=0, le=MAX_KNOWN_CRASHES)] = 0
--- a/deckcourse/peers/gossip.py
+++ b/deckcourse/peers/gossip.py
@@ -1,7 +1,7 @@
-"""The exchange by which processes learn of each other: a few digests each second, by datagram.
+"""Gossip between the processes of a site: a few digests per second, as datagrams.
 
-Load pattern: what a process sends and receives must not grow with the number of processes, so each
-round goes to a fixed number of members, with a fixed number of others told of.
+Load pattern: the traffic of one process must not grow with the number of processes. Each round
+therefore sends to a fixed number of members, and each digest holds a limited number of members.
 """
 
 from collections.abc import Awaitable, Callable, Sequence
@@ -9,7 +9,7 @@
 
 import trio
 
-from deckcourse.peers.crash import MOST_TOLD, Crash
+from deckcourse.peers.crash import MAX_CRASHES_PER_DIGEST, Crash
 from deckcourse.peers.datagrams import Datagrams
 from deckcourse.peers.member import Digest, Member, decode_digest, encode_digest
 from deckcourse.peers.roster import Roster
@@ -17,31 +17,31 @@
 
 __all__ = ["PeerGossip"]
 
-# Between two rounds, seconds, and up to a tenth more or less by chance.
-ROUND_SECONDS = 1.0
-# So many members of the own domain are told in a round; each beat must come around within the
-# lifetime of a member.
-NEAR_PER_ROUND = 3
-# Each so many rounds one member of another domain, or a seed, is told: it links the domains again
-# after a partition. Bytes between domains cost more than those within.
-FAR_ROUNDS = 3
-# Members in one digest: 18 of 70 bytes stay within one packet.
+# Interval between rounds, seconds; jittered by up to a tenth.
+ROUND_INTERVAL_SECONDS = 1.0
+# Digests sent to members of the own domain in each round; enough for each heartbeat to reach every
+# process before the member's TTL expires.
+DOMAIN_PEERS_PER_ROUND = 3
+# Every this many rounds, one digest goes to a member of another domain or to a seed, which rejoins
+# the domains after a partition. It is sent less often because traffic between domains costs more.
+OUTSIDE_ROUND_INTERVAL = 3
+# Members in one digest: 18 of 70 bytes each fit in one packet.
 MEMBERS_PER_DIGEST = 18
-# Members that are told of a crash at once: all of a small site. Others read it in the store.
-MOST_TOLD_AT_ONCE = 32
-# A process that knows fewer others than this asks its seeds in each round.
-FEW_MEMBERS = 2
+# Members that get a crash at once: all of a small site. The others read it from the store.
+MAX_CRASH_RECIPIENTS = 32
+# A process that knows fewer other members of its domain than this asks all seeds in each round.
+MIN_DOMAIN_PEERS = 2
 
 
 class PeerGossip:
-    """One process's part in the exchange.
+    """The gossip of one process.
 
     Args:
-      roster: what it knows.
-      datagrams: how it is told and tells.
-      seeds: addresses of processes that may be there.
-      random: chooses whom to tell.
-      count: counts by name.
+      roster: the membership view of this process.
+      datagrams: sends and receives the messages.
+      seeds: returns addresses of processes that may be running.
+      random: chooses the recipients.
+      count: increments a counter by name.
     """
 
     def __init__(
@@ -59,107 +59,110 @@
         self._count = count
         self._rounds = 0
         self._on_crash: Callable[[Crash], None] = lambda crash: None
-        self._known_crashes: Callable[[], Sequence[Crash]] = tuple
+        self._recent_crashes: Callable[[], Sequence[Crash]] = tuple
         self._on_token_message: Callable[[bytes], Awaitable[None]] | None = None
-        self._greet: Callable[[str], Awaitable[None]] | None = None
+        self._on_digest_request: Callable[[str], Awaitable[None]] | None = None
 
     def share_crashes(
-        self, on_crash: Callable[[Crash], None], known: Callable[[], Sequence[Crash]]
+        self, on_crash: Callable[[Crash], None], recent: Callable[[], Sequence[Crash]]
     ) -> None:
-        """Have each crash heard that others tell of, and tell who asks of those that are known.
+        """Register the handlers of crashes.
 
         Args:
-          on_crash: told of each.
-          known: returns what still counts, the latest at the end.
+          on_crash: called with each crash that another process reports.
+          recent: returns the crashes that are still valid, latest last; sent in reply to digests
+            that want a reply.
         """
         self._on_crash = on_crash
-        self._known_crashes = known
+        self._recent_crashes = recent
 
     def take_token_messages(
         self,
         handler: Callable[[bytes], Awaitable[None]],
-        greet: Callable[[str], Awaitable[None]],
+        on_digest_request: Callable[[str], Awaitable[None]],
     ) -> None:
         """Register the handlers of rate limit datagrams.
 
         Args:
           handler: called with each datagram.
-          greet: called with the address of each process that asks for a digest.
+          on_digest_request: called with the address of each process that requests a digest.
         """
         self._on_token_message = handler
-        self._greet = greet
+        self._on_digest_request = on_digest_request
 
     async def send(self, address: str, data: bytes) -> None:
         """Send a datagram to a member."""
         await self._datagrams.send(address, data)
 
     async def broadcast(self, data: bytes) -> None:
-        """Send a datagram to every other member that lives."""
+        """Send a datagram to every other live member."""
         own = self._roster.own
         for member in self._roster.live():
             if member.name != own.name:
                 await self._datagrams.send(member.address, data)
 
     async def run(self) -> None:
-        """Tell and listen until cancelled."""
+        """Send and receive digests until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._listen)
+            nursery.start_soon(self._receive_datagrams)
             while True:
                 await self._round()
-                await trio.sleep(ROUND_SECONDS * self._random.uniform(0.9, 1.1))
+                await trio.sleep(ROUND_INTERVAL_SECONDS * self._random.uniform(0.9, 1.1))
 
     async def tell_leaving(self) -> None:
-        """Tell the members of the own domain that this process is about to end."""
-        self._roster.leave()
-        for member in self._near():
-            await self._tell(member.address, member.domain)
+        """Announce to the members of the own domain that this process is leaving."""
+        self._roster.mark_leaving()
+        for member in self._domain_peers():
+            await self._send_digest(member.address, member.domain)
 
     async def tell_crash(self, crash: Crash) -> None:
-        """Tell others at once that an upstream ended under a request."""
+        """Send a crash to other members at once."""
         own = self._roster.own
         digest = encode_digest(Digest(own, (), False, (crash,)))
         others = [each for each in self._roster.live() if each.name != own.name]
-        for member in self._random.sample(others, min(MOST_TOLD_AT_ONCE, len(others))):
+        for member in self._random.sample(others, min(MAX_CRASH_RECIPIENTS, len(others))):
             await self._datagrams.send(member.address, digest)
 
     async def _round(self) -> None:
-        self._roster.beat()
-        near = self._near()
-        for member in self._random.sample(near, min(NEAR_PER_ROUND, len(near))):
-            await self._tell(member.address, member.domain)
-        lonely = len(near) < FEW_MEMBERS
-        if lonely or self._rounds % FAR_ROUNDS == 0:
-            await self._tell_far(lonely)
+        self._roster.advance_heartbeat()
+        domain_peers = self._domain_peers()
+        for member in self._random.sample(
+            domain_peers, min(DOMAIN_PEERS_PER_ROUND, len(domain_peers))
+        ):
+            await self._send_digest(member.address, member.domain)
+        is_isolated = len(domain_peers) < MIN_DOMAIN_PEERS
+        if is_isolated or self._rounds % OUTSIDE_ROUND_INTERVAL == 0:
+            await self._send_outside_domain(is_isolated)
         self._rounds += 1
 
-    def _near(self) -> list[Member]:
+    def _domain_peers(self) -> list[Member]:
         own = self._roster.own
         members = self._roster.live()
         return [each for each in members if each.domain == own.domain and each.name != own.name]
 
-    async def _tell_far(self, lonely: bool) -> None:
-        """Tell a member of another domain or a seed; one that knows few asks all its seeds."""
+    async def _send_outside_domain(self, is_isolated: bool) -> None:
+        """Send a digest to a member of another domain or a seed; ask all seeds if isolated."""
         own = self._roster.own
         seeds = [each for each in self._seeds() if each != own.address]
-        if lonely:
+        if is_isolated:
             for seed in seeds:
-                await self._tell(seed, own.domain, asks=True)
+                await self._send_digest(seed, own.domain, wants_reply=True)
             return
-        far = [each for each in self._roster.live() if each.domain != own.domain]
-        if far:
-            member = self._random.choice(far)
-            await self._tell(member.address, member.domain)
+        outside = [each for each in self._roster.live() if each.domain != own.domain]
+        if outside:
+            member = self._random.choice(outside)
+            await self._send_digest(member.address, member.domain)
         elif seeds:
-            await self._tell(self._random.choice(seeds), own.domain, asks=True)
+            await self._send_digest(self._random.choice(seeds), own.domain, wants_reply=True)
 
-    async def _tell(
-        self, address: str, domain: str, asks: bool = False, crashes: tuple[Crash, ...] = ()
+    async def _send_digest(
+        self, address: str, domain: str, wants_reply: bool = False, crashes: tuple[Crash, ...] = ()
     ) -> None:
-        members = self._roster.news(domain, MEMBERS_PER_DIGEST)
-        digest = Digest(self._roster.own, members, asks, crashes)
+        members = self._roster.select_for_digest(domain, MEMBERS_PER_DIGEST)
+        digest = Digest(self._roster.own, members, wants_reply, crashes)
         await self._datagrams.send(address, encode_digest(digest))
 
-    async def _listen(self) -> None:
+    async def _receive_datagrams(self) -> None:
         while True:
             data = await self._datagrams.receive()
             if self._on_token_message is not None and data.startswith(TOKEN_PREFIX):
@@ -172,9 +175,9 @@
             self._roster.take((digest.sender, *digest.members))
             for crash in digest.crashes:
                 self._on_crash(crash)
-            if digest.asks:
+            if digest.wants_reply:
                 sender = digest.sender
-                crashes = tuple(self._known_crashes())[-MOST_TOLD:]
-                await self._tell(sender.address, sender.domain, crashes=crashes)
-                if self._greet is not None:
-                    await self._greet(sender.address)
+                crashes = tuple(self._recent_crashes())[-MAX_CRASHES_PER_DIGEST:]
+                await self._send_digest(sender.address, sender.domain, crashes=crashes)
+                if self._on_digest_request is not None:
+                    await self._on_digest_request(sender.address)
--- a/deckcourse/peers/member.py
+++ b/deckcourse/peers/member.py
@@ -1,55 +1,66 @@
-"""A process as others know it, and the message in which processes tell of each other."""
+"""Members of the site, and the gossip digest that carries them between processes."""
 
 from typing import Annotated
 
 import msgspec
 from msgspec import Meta
 
-from deckcourse.peers.crash import MOST_TOLD, Crash
+from deckcourse.peers.crash import MAX_CRASHES_PER_DIGEST, Crash
 
-__all__ = ["LONGEST_TEXT", "Digest", "Member", "decode_digest", "encode_digest"]
+__all__ = ["MAX_TEXT_LENGTH", "Digest", "Member", "decode_digest", "encode_digest"]
 
 
-# Letters of a name, an address or a failure domain; more would fill packets and memory.
-LONGEST_TEXT = 200
-# A process does at the most so many times as much as another, or as little.
-LARGEST_WEIGHT = 1e6
-# Members in one digest; ours hold fewer than 20.
-MOST_MEMBERS = 256
-# The largest number that can be packed on one process's way to the next.
-LARGEST_WHOLE = 2**63 - 1
+# Largest length of a name, an address or a failure domain, in characters. Longer ones would fill
+# packets and memory.
+MAX_TEXT_LENGTH = 200
+# Upper bound on the capacity of a process relative to the others.
+MAX_WEIGHT = 1e6
+# Largest number of members accepted in one digest; this version sends fewer than 20.
+MAX_ACCEPTED_MEMBERS = 256
+# The largest integer that a digest can carry from process to process.
+MAX_INTEGER = 2**63 - 1
 
-_Text = Annotated[str, Meta(min_length=1, max_length=LONGEST_TEXT)]
-_Whole = Annotated[int, Meta(ge=0, le=LARGEST_WHOLE)]
+_Text = Annotated[str, Meta(min_length=1, max_length=MAX_TEXT_LENGTH)]
+_Integer = Annotated[int, Meta(ge=0, le=MAX_INTEGER)]
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
-    """One start of a process; `beat` rises while it lives.
-
-    `start` is the time of day of its start, in milliseconds: a later one under the same name goes
-    before an earlier one. `address` is where it listens to other processes, by TCP and UDP alike.
-    `weight` says how much it can do for others against the rest; `leaving` that it is about to end.
+    """One incarnation of a process.
+
+    Attributes:
+      name: its name, the same in all its incarnations.
+      start: the wall-clock time of its start, in milliseconds. Of two incarnations under the same
+        name, the one that started later supersedes the other.
+      address: where it accepts other processes, over both TCP and UDP.
+      domain: its failure domain.
+      weight: its capacity for serving others, relative to the other members.
+      beat: its heartbeat, a counter that rises while it is alive.
+      leaving: whether it announced its shutdown.
     """
 
     name: _Text
-    start: _Whole
+    start: _Integer
     address: _Text
     domain: _Text
-    weight: Annotated[float, Meta(ge=0.0, le=LARGEST_WEIGHT)] = 1.0
-    beat: _Whole = 0
+    weight: Annotated[float, Meta(ge=0.0, le=MAX_WEIGHT)] = 1.0
+    beat: _Integer = 0
     leaving: bool = False
 
 
 class Digest(msgspec.Struct, frozen=True, array_like=True):
-    """Some of the members that `sender` knows; one that `asks` wants a digest back.
+    """A gossip message.
 
-    `crashes` are upstreams that ended under requests of late.
+    Attributes:
+      sender: the process that sent it.
+      members: some of the other members that the sender knows.
+      wants_reply: whether the sender wants a digest in return.
+      crashes: recent crashes of upstreams during requests.
     """
 
     sender: Member
-    members: Annotated[tuple[Member, ...], Meta(max_length=MOST_MEMBERS)] = ()
-    asks: bool = False
-    crashes: Annotated[tuple[Crash, ...], Meta(max_length=MOST_TOLD)] = ()
+    members: Annotated[tuple[Member, ...], Meta(max_length=MAX_ACCEPTED_MEMBERS)] = ()
+    wants_reply: bool = False
+    crashes: Annotated[tuple[Crash, ...], Meta(max_length=MAX_CRASHES_PER_DIGEST)] = ()
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -57,13 +68,13 @@
 
 
 def encode_digest(digest: Digest) -> bytes:
-    """Return a digest as bytes."""
+    """Encode a digest as a datagram."""
     return _encoder.encode(digest)
 
 
 def decode_digest(data: bytes) -> Digest | None:
-    """Return the digest that was received, None where it is none."""
+    """Decode a received digest; return None if it is malformed."""
     try:
         return _decoder.decode(data)
     except (msgspec.MsgspecError, RecursionError):
-        return None  # Fields that nobody reads may be nested without end.
+        return None  # Unknown trailing fields may be nested too deeply.
--- a/deckcourse/peers/purpose.py
+++ b/deckcourse/peers/purpose.py
@@ -1,4 +1,4 @@
-"""Kinds of messages to upstreams."""
+"""Kinds of messages sent to upstreams."""
 
 from enum import StrEnum
 
@@ -6,7 +6,10 @@
 
 
 class Purpose(StrEnum):
-    """The kind of message that a token is spent on."""
+    """The kind of message that a token is spent on.
+
+    A question is a control message that only reads state; an order changes something.
+    """
 
     REQUEST = "request"
     QUESTION = "question"
--- a/deckcourse/peers/roster.py
+++ b/deckcourse/peers/roster.py
@@ -1,4 +1,4 @@
-"""Who is there, as one process knows it: members whose beat rose not long ago."""
+"""The membership view of one process: the members whose heartbeat rose recently."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -9,84 +9,102 @@
 
 __all__ = ["Roster"]
 
-# A member whose beat was not seen to rise for this long counts as gone, seconds: hundreds of
-# processes are told of each other's beats in turn.
-LIFETIME_SECONDS = 10.0
-# So long a member that is gone is remembered, so that an old word of it doesn't bring it back.
-REMEMBERED_SECONDS = 60.0
-# Others that are remembered at the most, far more than any site has: whoever tells of ever new
-# names must not fill the memory.
-MOST_MEMBERS = 4096
+# A member whose heartbeat was not seen to rise for this long counts as dead, seconds. Digests carry
+# only some members, so that with hundreds of processes a heartbeat arrives only now and then.
+MEMBER_TTL_SECONDS = 10.0
+# Dead members are kept for this long, seconds, so that a stale digest does not revive them.
+DEAD_MEMBER_RETENTION_SECONDS = 60.0
+# Largest number of other members kept, far more than any site has: bounds the memory that a peer
+# with ever new names can take.
+MAX_MEMBERS = 4096
 
 
 @dataclass
-class _Seen:
-    """A member, when its beat last rose on this process's clock, and how often that was told on."""
+class _Entry:
+    """A member, when its heartbeat last rose, and how often that heartbeat was forwarded.
+
+    `updated_at` is on this process's clock.
+    """
 
     member: Member
-    at: float
-    told: int = 0
+    updated_at: float
+    sent_count: int = 0
 
 
 class Roster:
-    """The members that one process knows, itself among them.
+    """The members that one process knows, including itself.
 
     Args:
-      own: this process; its beat rises with each call of `beat`.
-      clock: seconds, steady.
+      own: this process; `advance_heartbeat` raises its heartbeat.
+      clock: monotonic clock, seconds.
     """
 
     def __init__(self, own: Member, clock: Callable[[], float]) -> None:
         self._own = own
         self._clock = clock
-        self._seen: dict[str, _Seen] = {}
+        self._entries: dict[str, _Entry] = {}
 
     @property
     def own(self) -> Member:
         """This process."""
         return self._own
 
-    def beat(self) -> None:
-        """Show others that this process lives."""
+    def advance_heartbeat(self) -> None:
+        """Raise the heartbeat of this process."""
         self._own = replace(self._own, beat=self._own.beat + 1)
 
-    def leave(self) -> None:
-        """Show others that this process is about to end."""
+    def mark_leaving(self) -> None:
+        """Mark this process as leaving."""
         self._own = replace(self._own, leaving=True, beat=self._own.beat + 1)
 
     def take(self, members: Iterable[Member]) -> None:
-        """Take in what another process knows; older words than the known are dropped."""
+        """Merge the members that another process knows, except for superseded entries."""
         now = self._clock()
         for member in members:
-            if member.name != self._own.name and self._is_news(member, now):
-                self._seen[member.name] = _Seen(member, now)
-        self._seen = {
-            name: each for name, each in self._seen.items() if now - each.at < REMEMBERED_SECONDS
+            if member.name != self._own.name and self._is_newer(member, now):
+                self._entries[member.name] = _Entry(member, now)
+        self._entries = {
+            name: each
+            for name, each in self._entries.items()
+            if now - each.updated_at < DEAD_MEMBER_RETENTION_SECONDS
         }
 
-    def _is_news(self, member: Member, now: float) -> bool:
-        known = self._seen.get(member.name)
-        if known is None:
-            return len(self._seen) < MOST_MEMBERS
-        if member.start == known.member.start:
-            return member.beat > known.member.beat
-        return member.start > known.member.start or now - known.at >= LIFETIME_SECONDS
+    def _is_newer(self, member: Member, now: float) -> bool:
+        current = self._entries.get(member.name)
+        if current is None:
+            return len(self._entries) < MAX_MEMBERS
+        if member.start == current.member.start:
+            return member.beat > current.member.beat
+        return member.start > current.member.start or now - current.updated_at >= MEMBER_TTL_SECONDS
 
     def live(self) -> tuple[Member, ...]:
-        """Return the members that live, this process among them."""
+        """Return the live members, including this process."""
         now = self._clock()
-        others = (each.member for each in self._seen.values() if now - each.at < LIFETIME_SECONDS)
+        others = (
+            each.member
+            for each in self._entries.values()
+            if now - each.updated_at < MEMBER_TTL_SECONDS
+        )
         return (self._own, *others)
 
-    def news(self, domain: str, most: int) -> tuple[Member, ...]:
-        """Return what is worth telling to a process of a domain, and count it as told.
+    def select_for_digest(self, domain: str, max_count: int) -> tuple[Member, ...]:
+        """Return the members to send to a process of a domain, and count them as sent.
+
+        Members of the recipient's domain come first, since it works with those. Next come the
+        entries sent the fewest times, then the newest: every heartbeat gets around, rather than
+        the same few repeatedly.
 
-        Its own domain goes before others, since it works with those, and what was told least
-        before what is newest: so each beat comes around, and not the same few again and again.
+        Args:
+          domain: the failure domain of the recipient.
+          max_count: the largest number of members to return.
         """
         now = self._clock()
-        live = [each for each in self._seen.values() if now - each.at < LIFETIME_SECONDS]
-        live.sort(key=lambda each: (each.member.domain != domain, each.told, -each.at))
-        for each in live[:most]:
-            each.told += 1
-        return tuple(each.member for each in live[:most])
+        live = [
+            each for each in self._entries.values() if now - each.updated_at < MEMBER_TTL_SECONDS
+        ]
+        live.sort(
+            key=lambda each: (each.member.domain != domain, each.sent_count, -each.updated_at)
+        )
+        for each in live[:max_count]:
+            each.sent_count += 1
+        return tuple(each.member for each in live[:max_count])
--- a/deckcourse/peers/token_messages.py
+++ b/deckcourse/peers/token_messages.py
@@ -1,6 +1,6 @@
 """Datagrams for rate limits and their tokens.
 
-They share a port with gossip digests, and start with a byte that no msgpack value starts with.
+They share a port with gossip digests and start with a byte that never begins a msgpack value.
 """
 
 from typing import Annotated
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Meta
 
-from deckcourse.peers.member import LONGEST_TEXT, Member
+from deckcourse.peers.member import MAX_TEXT_LENGTH, Member
 from deckcourse.peers.purpose import Purpose
 from deckcourse.peers.rate_limit import RateLimit
 
@@ -25,13 +25,13 @@
 ]
 
 TOKEN_PREFIX = b"\xc1"
-# Limits in one datagram: 16 of 70 bytes stay within one packet.
+# Limits in one datagram: 16 of 70 bytes each fit in one packet.
 MAX_LIMITS_PER_MESSAGE = 16
-# Upper bound on a wait, seconds.
-LONGEST_WAIT = 60.0
+# Largest wait that a reply may ask for.
+MAX_WAIT_SECONDS = 60.0
 
-_Text = Annotated[str, Meta(min_length=1, max_length=LONGEST_TEXT)]
-_Wait = Annotated[float, Meta(ge=0.0, le=LONGEST_WAIT)]
+_Text = Annotated[str, Meta(min_length=1, max_length=MAX_TEXT_LENGTH)]
+_Wait = Annotated[float, Meta(ge=0.0, le=MAX_WAIT_SECONDS)]
 _Number = Annotated[int, Meta(ge=0, le=2**53)]
 
 
@@ -52,12 +52,12 @@
 
 
 class TokenReply(msgspec.Struct, frozen=True, array_like=True, tag="reply"):
-    """The answer to a request.
+    """The reply to a token request.
 
     Attributes:
       number: that of the request.
       granted: whether a token was issued.
-      wait: time until the next request, if denied, seconds.
+      wait: time to wait before the next request, if denied, seconds.
       retry_after: Retry-After for a rejected caller, if denied, seconds.
       limit: the limit as known to the replying process.
       issuer: the current issuer, None if unknown.
@@ -72,7 +72,7 @@
 
 
 class TokenReturn(msgspec.Struct, frozen=True, array_like=True, tag="return"):
-    """An unused token."""
+    """A token handed back unused."""
 
     instance: _Text
 
@@ -91,13 +91,13 @@
 
 
 def encode_message(message: TokenMessage) -> bytes:
-    """Return a message as a datagram."""
+    """Encode a message as a datagram."""
     return TOKEN_PREFIX + _encoder.encode(message)
 
 
 def decode_message(data: bytes) -> TokenMessage | None:
-    """Return the message in a datagram, None where it is none."""
+    """Decode the message in a datagram; return None if it is malformed."""
     try:
         return _decoder.decode(data[len(TOKEN_PREFIX) :])
     except (msgspec.MsgspecError, RecursionError):
-        return None  # Fields that nobody reads may be nested without end.
+        return None  # Unknown trailing fields may be nested too deeply.
--- a/features/mutants_peers.py
+++ b/features/mutants_peers.py
@@ -42,7 +42,7 @@
 
 
 def the_dead_live_on():
-    Roster._is_news = lambda self, member, now: True
+    Roster._is_newer = lambda self, member, now: True
 
 
 def one_first_host_a_copy():
--- a/features/steps/foreign_frame_steps.py
+++ b/features/steps/foreign_frame_steps.py
@@ -400,7 +400,7 @@
             roster.take((found.sender, *found.members))
         assert {each.name for each in roster.live()} >= {"a", "b"}
         followers(roster.live(), "x")
-        encode_digest(Digest(roster.own, roster.news("x", 18)))
+        encode_digest(Digest(roster.own, roster.select_for_digest("x", 18)))
 
     check()
 
--- a/features/steps/peer_steps.py
+++ b/features/steps/peer_steps.py
@@ -141,7 +141,7 @@
 
 @then("its digest has at most {most:d} bytes")
 def digest_size(context, most):
-    told = context.roster.news("some-hall", MEMBERS_PER_DIGEST)
+    told = context.roster.select_for_digest("some-hall", MEMBERS_PER_DIGEST)
     assert len(told) == MEMBERS_PER_DIGEST
     assert len(encode_digest(Digest(context.roster.own, told))) <= most
 
