--- a/deckcourse/peers/datagrams.py
+++ b/deckcourse/peers/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams between processes: their port, UDP behind it, and a twin in memory."""
+"""Datagrams between processes: the interface, UDP, and a test double in memory."""
 
 import socket
 from collections.abc import Callable
@@ -10,14 +10,14 @@
 
 __all__ = ["Datagrams", "MemoryDatagrams", "MemoryMedium", "UdpDatagrams"]
 
-# The largest datagram that is taken, bytes; one of ours stays below 1,400.
-LARGEST_DATAGRAM = 65_507
-# Datagrams that wait in memory to be read, in the twin; more are dropped, as a full buffer does.
-MOST_WAITING = 256
+# Largest datagram that is received; this version sends fewer than 1,400 bytes.
+MAX_DATAGRAM_BYTES = 65_507
+# Receive queue of an address in memory; further datagrams are dropped, as by a full socket buffer.
+MAX_QUEUED_DATAGRAMS = 256
 
 
 class Datagrams(Protocol):
-    """Sends and receives datagrams at one address; any may be lost."""
+    """Sends and receives datagrams at one address; delivery is not guaranteed."""
 
     async def send(self, address: str, data: bytes) -> None:
         """Send a datagram to `IP:port`; one that can't be sent is lost."""
@@ -27,70 +27,74 @@
 
 
 class UdpDatagrams:
-    """Datagrams by UDP at `IP:port`."""
+    """Datagrams over UDP at `IP:port`."""
 
     def __init__(self, address: str) -> None:
         host, _, port = address.rpartition(":")
-        opened = socket.socket(type=socket.SOCK_DGRAM)
-        opened.bind((host, int(port)))
-        self._socket = trio.socket.from_stdlib_socket(opened)
+        bound_socket = socket.socket(type=socket.SOCK_DGRAM)
+        bound_socket.bind((host, int(port)))
+        self._socket = trio.socket.from_stdlib_socket(bound_socket)
 
     async def send(self, address: str, data: bytes) -> None:
         """Send a datagram to `IP:port`; one that can't be sent is lost."""
         if not is_address(address):
-            return  # Another process told of it, and nobody vouches for what it says.
+            return  # The address came from another process and is not validated.
         host, _, port = address.rpartition(":")
         try:
             await self._socket.sendto(data, (host, int(port)))
         except OSError:
-            return  # As good as lost on the way: the next round tells the same.
+            return  # Same as a lost datagram: the next gossip round repeats its content.
 
     async def receive(self) -> bytes:
         """Return the next datagram."""
         while True:
             try:
-                return await self._socket.recv(LARGEST_DATAGRAM)
+                return await self._socket.recv(MAX_DATAGRAM_BYTES)
             except OSError:
-                # An earlier datagram was turned down by its receiver's machine.
+                # Reports an earlier datagram that the recipient's machine rejected.
                 await trio.lowlevel.checkpoint()
 
 
 class MemoryMedium:
-    """What carries datagrams in memory; `lost` decides which of them don't come."""
+    """A network for datagrams in memory.
+
+    Args:
+      lost: returns whether a datagram from a source to a target is lost.
+    """
 
     def __init__(self, lost: Callable[[str, str], bool] = lambda source, target: False) -> None:
         self._lost = lost
         self._waiting: dict[str, trio.MemorySendChannel[bytes]] = {}
 
     def open(self, address: str) -> "MemoryDatagrams":
-        """Return the datagrams of an address; who had it before gets none any more."""
-        send, receive = trio.open_memory_channel[bytes](MOST_WAITING)
+        """Open an address; an earlier holder of it receives nothing from then on."""
+        send, receive = trio.open_memory_channel[bytes](MAX_QUEUED_DATAGRAMS)
         self._waiting[address] = send
         return MemoryDatagrams(self, address, receive)
 
     def carry(self, source: str, target: str, data: bytes) -> None:
-        """Bring a datagram to its target, if that is there and has room."""
-        waiting = self._waiting.get(target)
-        if waiting is None or self._lost(source, target):
+        """Deliver a datagram, if the target is open and its queue has room."""
+        queue = self._waiting.get(target)
+        if queue is None or self._lost(source, target):
             return
         try:
-            waiting.send_nowait(data)
+            queue.send_nowait(data)
         except (trio.WouldBlock, trio.BrokenResourceError):
-            return  # A full buffer and a closed socket drop it.
+            return  # Dropped, as by a full socket buffer or a closed socket.
 
 
 class MemoryDatagrams:
-    """The twin of UDP: datagrams at one address of a medium."""
+    """Datagrams at one address of a `MemoryMedium`."""
 
     def __init__(
-        self, medium: MemoryMedium, address: str, waiting: trio.MemoryReceiveChannel[bytes]
+        self, medium: MemoryMedium, address: str, queue: trio.MemoryReceiveChannel[bytes]
     ) -> None:
         self._medium = medium
         self._address = address
-        self._waiting = waiting
+        self._waiting = queue
 
     async def send(self, address: str, data: bytes) -> None:
-        """Send a datagram; it is there at once or never."""
+        """Send a datagram; it arrives immediately or is lost."""
         await trio.lowlevel.checkpoint()
         self._medium.carry(self._address, address, data)
 
--- a/deckcourse/peers/frames.py
+++ b/deckcourse/peers/frames.py
@@ -1,8 +1,8 @@
-"""What a process that follows the store sends to those that ask it: frames with updates of tables.
+"""Frames with table updates, which a source sends to its subscribers, and the request for them.
 
-A frame stands behind its length in four bytes; a large one is compressed. Moments are given in
-seconds after the question was read: the one that asks knows when it sent the question, so that it
-takes no moment for later than it was, whatever the frame waited on its way.
+Each frame follows its length in four bytes; a large one is compressed. Times are given in seconds
+after the source read the request. The subscriber counts them from when it sent the request, which
+was earlier, so it never takes a time for later than it was, however long the frame was in transit.
 """
 
 import zlib
@@ -12,93 +12,95 @@
 import msgspec
 from msgspec import Meta
 
-from deckcourse.peers.loads import LARGEST_NUMBER, LoadRow
+from deckcourse.peers.loads import MAX_NUMBER, LoadRow
 from deckcourse.peers.replica import TableUpdate, Version
 
 __all__ = [
     "Frame",
     "FrameReader",
     "MalformedFrameError",
-    "Question",
-    "decode_question",
+    "ChangesRequest",
+    "decode_request",
     "encode_frame",
-    "encode_question",
+    "encode_request",
 ]
 
 LENGTH_BYTES = 4
-# A frame larger than this is compressed, bytes. A desired state of 1,500 routes shrinks from 300 to
-# 20 KB, so that a link of 20 Mbit/s carries it to 20 others in 0.2 s, not in 2.4.
-COMPRESSED_FROM = 2048
-# Quick rather than small: 3 ms for 300 KB.
+# Frames of this size and above are compressed. A desired state of 1,500 routes shrinks from 300 to
+# 20 KB: a link of 20 Mbit/s carries it to 20 other processes in 0.2 s instead of 2.4.
+COMPRESSION_THRESHOLD_BYTES = 2048
+# Favours speed over size: 3 ms for 300 KB.
 COMPRESSION_LEVEL = 1
-# No table of a site of 1,000 upstreams comes near this, bytes.
-LARGEST_FRAME = 16 * 1024 * 1024
-_PLAIN = b"\x00"
+# Well above any table of a site of 1,000 upstreams.
+MAX_FRAME_BYTES = 16 * 1024 * 1024
+_UNCOMPRESSED = b"\x00"
 _COMPRESSED = b"\x01"
-# Tables and loads that a message tells of at the most: whatever comes, the memory that it takes is
-# bounded.
-MOST_TABLES = 64
-MOST_LOADS = 65_536
-# Letters of what is wrong with a frame that are passed on.
-LONGEST_PROBLEM = 200
+# Largest numbers of tables and loads in one message: they bound the memory that any message takes.
+MAX_TABLES = 64
+MAX_LOADS = 65_536
+# Characters of a decoder error that are kept in the message of a MalformedFrameError.
+MAX_ERROR_LENGTH = 200
 
-# Seconds from the moment that a frame counts from.
-_Moment = Annotated[float, Meta(ge=-LARGEST_NUMBER, le=LARGEST_NUMBER)]
+# Seconds relative to the origin of the times of a frame.
+_RelativeSeconds = Annotated[float, Meta(ge=-MAX_NUMBER, le=MAX_NUMBER)]
 
 
-class Question(msgspec.Struct, frozen=True, array_like=True):
-    """Who asks, and up to which version it knows each table; None where it knows none of it."""
+class ChangesRequest(msgspec.Struct, frozen=True, array_like=True):
+    """A request for changes: the subscriber, and the version of each table that it holds.
+
+    The version of a table is None if the subscriber holds no snapshot of it yet.
+    """
 
     name: str
-    versions: Annotated[dict[str, Version | None], Meta(max_length=MOST_TABLES)]
+    versions: Annotated[dict[str, Version | None], Meta(max_length=MAX_TABLES)]
 
 
 class Frame(msgspec.Struct, frozen=True, array_like=True):
-    """Updates of tables, and how true the sender's copies are.
+    """Table updates, and how current the sender's replicas are.
 
     Attributes:
-      updates: what changed.
-      as_of: for each table the version that the sender knows and the moment before which every
-        change is in it.
-      returned: the moment at which the store last came back, None where it was never away.
-      loads: what upstreams said since the last frame.
-      lost: whether the sender lost the store and heard nothing newer from others.
+      updates: the changes since the last frame.
+      as_of: for each table, the version that the sender holds and the time before which that
+        version includes every change.
+      recovered: the time at which the store last recovered, None if there was no outage.
+      loads: the loads of upstreams received since the last frame.
+      is_cut_off: whether the sender cannot reach the store and received nothing newer from others.
     """
 
-    updates: Annotated[tuple[TableUpdate, ...], Meta(max_length=MOST_TABLES)]
-    as_of: Annotated[dict[str, tuple[Version, _Moment]], Meta(max_length=MOST_TABLES)]
-    returned: _Moment | None = None
-    loads: Annotated[tuple[LoadRow, ...], Meta(max_length=MOST_LOADS)] = ()
-    lost: bool = False
+    updates: Annotated[tuple[TableUpdate, ...], Meta(max_length=MAX_TABLES)]
+    as_of: Annotated[dict[str, tuple[Version, _RelativeSeconds]], Meta(max_length=MAX_TABLES)]
+    recovered: _RelativeSeconds | None = None
+    loads: Annotated[tuple[LoadRow, ...], Meta(max_length=MAX_LOADS)] = ()
+    is_cut_off: bool = False
 
 
 class MalformedFrameError(Exception):
-    """What was received is no frame."""
+    """The received bytes are not a valid frame."""
 
 
 _encoder = msgspec.msgpack.Encoder()
 _frame_decoder = msgspec.msgpack.Decoder(Frame)
-_question_decoder = msgspec.msgpack.Decoder(Question)
+_request_decoder = msgspec.msgpack.Decoder(ChangesRequest)
 
 
-def encode_question(question: Question) -> bytes:
-    """Return a question as bytes."""
-    return _encoder.encode(question)
+def encode_request(request: ChangesRequest) -> bytes:
+    """Encode a request for changes."""
+    return _encoder.encode(request)
 
 
-def decode_question(data: bytes) -> Question | None:
-    """Return the question that was received, None where it is none."""
+def decode_request(data: bytes) -> ChangesRequest | None:
+    """Decode a request for changes; return None if it is malformed."""
     try:
-        return _question_decoder.decode(data)
+        return _request_decoder.decode(data)
     except (msgspec.MsgspecError, RecursionError):
-        return None  # Fields that nobody reads may be nested without end.
+        return None  # Unknown trailing fields may be nested too deeply.
 
 
 def encode_frame(frame: Frame) -> bytes:
-    """Return a frame behind its length."""
+    """Encode a frame, preceded by its length."""
     body = _encoder.encode(frame)
-    kind = _PLAIN
-    if len(body) >= COMPRESSED_FROM:
+    kind = _UNCOMPRESSED
+    if len(body) >= COMPRESSION_THRESHOLD_BYTES:
         body = zlib.compress(body, COMPRESSION_LEVEL)
         kind = _COMPRESSED
     return (len(body) + 1).to_bytes(LENGTH_BYTES) + kind + body
@@ -106,41 +108,43 @@
 
 def _decode(content: bytes) -> Frame:
     kind, body = content[:1], content[1:]
-    if kind not in (_PLAIN, _COMPRESSED):
-        raise MalformedFrameError("a frame of no kind that is known")
+    if kind not in (_UNCOMPRESSED, _COMPRESSED):
+        raise MalformedFrameError("unknown frame kind")
     try:
-        return _frame_decoder.decode(_decompressed(body) if kind == _COMPRESSED else body)
+        return _frame_decoder.decode(_decompress(body) if kind == _COMPRESSED else body)
     except (zlib.error, msgspec.MsgspecError) as error:
-        raise MalformedFrameError(str(error)[:LONGEST_PROBLEM]) from error
+        raise MalformedFrameError(str(error)[:MAX_ERROR_LENGTH]) from error
     except RecursionError as error:
-        raise MalformedFrameError("nested too deep") from error
+        raise MalformedFrameError("nested too deeply") from error
 
 
-def _decompressed(body: bytes) -> bytes:
+def _decompress(body: bytes) -> bytes:
     decompressor = zlib.decompressobj()
-    whole = decompressor.decompress(body, LARGEST_FRAME)
+    content = decompressor.decompress(body, MAX_FRAME_BYTES)
     if not decompressor.eof or decompressor.unused_data:
-        raise MalformedFrameError("a compressed frame that is cut, too large or followed by more")
-    return whole
+        raise MalformedFrameError(
+            "compressed frame is truncated, too large or followed by other bytes"
+        )
+    return content
 
 
 class FrameReader:
-    """Puts frames together from the bytes of a connection."""
+    """Assembles frames from the bytes of a connection."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[Frame]:
-        """Yield the frames that are whole with these bytes.
+        """Add received bytes and yield the frames that are now complete.
 
         Raises:
-          MalformedFrameError: the bytes are no frames.
+          MalformedFrameError: the bytes are not valid frames.
         """
         self._buffer += data
         while len(self._buffer) >= LENGTH_BYTES:
             length = int.from_bytes(self._buffer[:LENGTH_BYTES])
-            if not 0 < length <= LARGEST_FRAME:
-                raise MalformedFrameError(f"a frame of {length} bytes")
+            if not 0 < length <= MAX_FRAME_BYTES:
+                raise MalformedFrameError(f"invalid frame length: {length} bytes")
             end = LENGTH_BYTES + length
             if len(self._buffer) < end:
                 return
--- a/deckcourse/peers/knowledge.py
+++ b/deckcourse/peers/knowledge.py
@@ -1,4 +1,4 @@
-"""What a process knows of the store's tables and of loads, of its own or from another process."""
+"""The replicas of store tables and the loads of upstreams that processes share."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
@@ -10,116 +10,116 @@
 from deckcourse.peers.loads import LoadBoard, LoadRow
 from deckcourse.peers.replica import TableReplica
 
-__all__ = ["Knowledge", "Listener"]
+__all__ = ["SharedState", "Subscriber"]
 
 
 @dataclass
-class Listener:
-    """Somebody who asks: what it was told up to now.
+class Subscriber:
+    """A process that receives frames, and what was sent to it so far.
 
     Attributes:
-      origin: the moment from which its frames count.
-      versions: what it knows of each table.
-      as_of: up to when it was told that it knows each.
-      last_load: the number of the newest load that it was told.
+      origin: the time that the times in its frames are relative to.
+      versions: the version of each table that it holds.
+      as_of: the `as_of` last sent to it for each table.
+      last_load_sequence: the sequence number of the newest load sent to it.
     """
 
     origin: float
     versions: dict[str, int | None]
     as_of: dict[str, float] = field(default_factory=dict)
-    last_load: int = 0
+    last_load_sequence: int = 0
 
 
-class Knowledge:
-    """The copies of all tables, and a way to wait for news of them.
+class SharedState:
+    """The replicas of all tables and the known loads, with a way to wait for updates.
 
     Args:
-      tables: their names.
-      on_returned: told the moment at which the store came back, before rows that may have lapsed
-        meanwhile are taken in.
+      tables: the names of the tables.
+      on_store_recovered: called with the time at which the store recovered, before the deletion of
+        rows that may have lapsed during the outage is merged.
     """
 
-    def __init__(self, tables: Sequence[str], on_returned: Callable[[float], None]) -> None:
+    def __init__(self, tables: Sequence[str], on_store_recovered: Callable[[float], None]) -> None:
         self._replicas = {name: TableReplica(name) for name in tables}
-        self._on_returned = on_returned
-        self._returned_at = float("-inf")
-        self._progress = trio.Event()
+        self._on_store_recovered = on_store_recovered
+        self._recovered_at = float("-inf")
+        self._updated = trio.Event()
         self._loads = LoadBoard(trio.current_time)
 
     @property
     def loads(self) -> LoadBoard:
-        """What is known of how much upstreams have to do."""
+        """The known loads of upstreams."""
         return self._loads
 
     def replica(self, table: str) -> TableReplica:
-        """Return the copy of a table."""
+        """Return the replica of a table."""
         return self._replicas[table]
 
     @property
-    def contact_at(self) -> float:
-        """The latest moment before which every change of some table is in.
+    def latest_as_of(self) -> float:
+        """The latest time before which the replica of some table includes every change.
 
-        It is recent where the store is in reach, of this process or of one that it asks.
+        It is recent while this process or its source can reach the store.
         """
         return max(each.as_of for each in self._replicas.values())
 
     @property
     def versions(self) -> dict[str, int | None]:
-        """The version up to which each table is known."""
+        """The version of each replica."""
         return {name: each.version for name, each in self._replicas.items()}
 
-    def note_progress(self) -> None:
-        """Wake everybody who waits for news."""
-        self._progress.set()
-        self._progress = trio.Event()
+    def notify_waiters(self) -> None:
+        """Wake all tasks in `wait_for_update`."""
+        self._updated.set()
+        self._updated = trio.Event()
 
-    async def wait(self) -> None:
-        """Wait for news."""
-        await self._progress.wait()
+    async def wait_for_update(self) -> None:
+        """Wait for the next call of `notify_waiters`."""
+        await self._updated.wait()
 
-    def note_returned(self, moment: float) -> None:
-        """Note that the store came back at a moment, where that is news."""
-        if moment > self._returned_at:
-            self._returned_at = moment
-            self._on_returned(moment)
+    def note_store_recovered(self, moment: float) -> None:
+        """Record that the store recovered at a time, unless a later recovery is known."""
+        if moment > self._recovered_at:
+            self._recovered_at = moment
+            self._on_store_recovered(moment)
 
-    def frame(self, listener: Listener, lost: bool = False) -> Frame:
-        """Return what somebody lacks, and count it as told; empty where it lacks nothing.
+    def next_frame(self, subscriber: Subscriber, is_cut_off: bool = False) -> Frame:
+        """Return what a subscriber lacks, and record it as sent; empty if it lacks nothing.
 
         Args:
-          listener: who asks.
-          lost: see `Frame`.
+          subscriber: the recipient.
+          is_cut_off: see `Frame`.
         """
         updates = []
         as_of = {}
         for name, replica in self._replicas.items():
             if replica.version is None:
                 continue
-            update = replica.since(listener.versions.get(name))
-            has_news = update is not None and update.version != listener.versions.get(name)
-            if has_news:
+            update = replica.since(subscriber.versions.get(name))
+            is_changed = update is not None and update.version != subscriber.versions.get(name)
+            if is_changed:
                 updates.append(update)
-                listener.versions[name] = update.version
-            told = listener.as_of.get(name, float("-inf"))
-            if replica.as_of > told or (has_news and replica.as_of > float("-inf")):
-                as_of[name] = replica.version, replica.as_of - listener.origin
-                listener.as_of[name] = replica.as_of
-        known = self._returned_at > float("-inf")
-        returned = self._returned_at - listener.origin if known else None
-        return Frame(tuple(updates), as_of, returned, self._new_loads(listener), lost)
-
-    def _new_loads(self, listener: Listener) -> tuple[LoadRow, ...]:
-        rows, listener.last_load = self._loads.since(listener.last_load)
-        return tuple(replace(each, at=each.at - listener.origin) for each in rows)
-
-    def take(self, frame: Frame, origin: float) -> None:
-        """Take in a frame; its moments count from `origin`, and none is later than now.
-
-        What counted as known for later would count as fresh when nobody sees the store any more.
+                subscriber.versions[name] = update.version
+            sent_as_of = subscriber.as_of.get(name, float("-inf"))
+            if replica.as_of > sent_as_of or (is_changed and replica.as_of > float("-inf")):
+                as_of[name] = replica.version, replica.as_of - subscriber.origin
+                subscriber.as_of[name] = replica.as_of
+        has_recovered = self._recovered_at > float("-inf")
+        recovered = self._recovered_at - subscriber.origin if has_recovered else None
+        return Frame(tuple(updates), as_of, recovered, self._new_loads(subscriber), is_cut_off)
+
+    def _new_loads(self, subscriber: Subscriber) -> tuple[LoadRow, ...]:
+        rows, subscriber.last_load_sequence = self._loads.since(subscriber.last_load_sequence)
+        return tuple(replace(each, at=each.at - subscriber.origin) for each in rows)
+
+    def merge(self, frame: Frame, origin: float) -> None:
+        """Merge a frame whose times are relative to `origin`, limiting each time to now.
+
+        A time in the future would make the state count as fresh when nobody can reach the store.
         """
         now = trio.current_time()
-        if frame.returned is not None:
-            self.note_returned(min(now, origin + frame.returned))
+        if frame.recovered is not None:
+            self.note_store_recovered(min(now, origin + frame.recovered))
         for update in frame.updates:
             if update.table in self._replicas:
                 self._replicas[update.table].take(update)
@@ -128,4 +128,4 @@
                 self._replicas[name].confirm(version, min(now, origin + seconds))
         for row in frame.loads:
             self._loads.note(replace(row, at=min(now, origin + row.at)))
-        self.note_progress()
+        self.notify_waiters()
--- a/deckcourse/peers/loads.py
+++ b/deckcourse/peers/loads.py
@@ -1,4 +1,4 @@
-"""How much upstreams have to do, as asked by one process and told to others."""
+"""Loads of upstreams, as queried by one process and relayed to the others."""
 
 from collections.abc import Callable
 from typing import Annotated
@@ -8,83 +8,89 @@
 
 __all__ = ["LoadBoard", "LoadRow"]
 
-# More requests than any upstream has; a larger number is nobody's word.
-MOST_REQUESTS = 1_000_000
-# A moment or a share beyond this is none: NaN and infinity are in no range. Seconds, some 30 years.
-LARGEST_NUMBER = 1e9
-# What an upstream said counts for so long, seconds: it is asked each 0.4 s by those near to it, and
-# each 1.6 s by others.
-LIFETIME_SECONDS = 3.0
+# More requests than any upstream has; a larger count is invalid.
+MAX_REQUESTS = 1_000_000
+# Upper bound on the size of times (seconds, about 30 years) and shares; also excludes NaN and
+# infinity.
+MAX_NUMBER = 1e9
+# How long the load of an upstream is valid, seconds. Followers of its own domain query it
+# every 0.4 s, those of other domains every 1.6 s.
+LOAD_TTL_SECONDS = 3.0
 
 
-_Count = Annotated[int, Meta(ge=0, le=MOST_REQUESTS)]
+_Count = Annotated[int, Meta(ge=0, le=MAX_REQUESTS)]
 
 
 class LoadRow(msgspec.Struct, frozen=True, array_like=True):
-    """What an upstream says of its requests as the first of a path, and when it was asked.
-
-    `cache_share` is the part of its memory for requests that is taken. `at` is on this process's
-    clock; on the way to another it counts from the moment that frames count from.
+    """The load of an upstream as the first stage of paths, and when it was queried.
+
+    Attributes:
+      instance: the upstream.
+      running: requests that it executes.
+      queued: requests that wait there.
+      cache_share: the share of its memory for requests that is in use.
+      at: the time of the query, on this process's clock; in a frame, relative to the origin of the
+        frame's times.
     """
 
     instance: str
     running: _Count
     queued: _Count
-    cache_share: Annotated[float, Meta(ge=0.0, le=LARGEST_NUMBER)]
-    at: Annotated[float, Meta(ge=-LARGEST_NUMBER, le=LARGEST_NUMBER)]
+    cache_share: Annotated[float, Meta(ge=0.0, le=MAX_NUMBER)]
+    at: Annotated[float, Meta(ge=-MAX_NUMBER, le=MAX_NUMBER)]
 
     @property
     def requests(self) -> int:
-        """All requests that it has."""
+        """The number of its requests, running and queued."""
         return self.running + self.queued
 
     @property
     def sound(self) -> bool:
-        """Whether its figures can be true; others would take a frame with any other for none."""
+        """Whether its figures are in range; peers reject a whole frame with any other row."""
         counts = (self.running, self.queued)
-        in_range = all(0 <= each <= MOST_REQUESTS for each in counts)
-        return in_range and 0.0 <= self.cache_share <= LARGEST_NUMBER
+        in_range = all(0 <= each <= MAX_REQUESTS for each in counts)
+        return in_range and 0.0 <= self.cache_share <= MAX_NUMBER
 
 
 class LoadBoard:
-    """The newest word of each upstream.
+    """The newest known load of each upstream.
 
     Args:
-      clock: seconds, steady.
+      clock: monotonic clock, seconds.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
         self._rows: dict[str, LoadRow] = {}
-        # The number of the last word of each upstream, in the order in which they came.
-        self._numbers: dict[str, int] = {}
-        self._number = 0
+        # The sequence number of the newest load of each upstream, in order of arrival.
+        self._sequences: dict[str, int] = {}
+        self._sequence = 0
 
     def note(self, row: LoadRow) -> None:
-        """Take in what an upstream said, unless it can't be or something newer is known."""
+        """Record the load of an upstream, unless it is invalid or a newer one is known."""
         if not row.sound:
             return
-        known = self._rows.get(row.instance)
-        if known is None or row.at > known.at:
-            self._number += 1
+        current = self._rows.get(row.instance)
+        if current is None or row.at > current.at:
+            self._sequence += 1
             self._rows[row.instance] = row
-            self._numbers[row.instance] = self._number
+            self._sequences[row.instance] = self._sequence
 
-    def since(self, number: int) -> tuple[tuple[LoadRow, ...], int]:
-        """Return the words of late that came after the one of a number, and the newest number."""
-        rows = (each for each in self.all() if self._numbers[each.instance] > number)
-        return tuple(rows), self._number
+    def since(self, sequence: int) -> tuple[tuple[LoadRow, ...], int]:
+        """Return the valid loads that came after a sequence number, and the newest number."""
+        rows = (each for each in self.all() if self._sequences[each.instance] > sequence)
+        return tuple(rows), self._sequence
 
     def known(self, instance: str) -> LoadRow | None:
-        """Return the newest word of an upstream, None where there is none of late."""
+        """Return the newest load of an upstream, None if there is none that is still valid."""
         row = self._rows.get(instance)
-        if row is None or row.at < self._clock() - LIFETIME_SECONDS:
+        if row is None or row.at < self._clock() - LOAD_TTL_SECONDS:
             return None
         return row
 
     def all(self) -> list[LoadRow]:
-        """Return every upstream's word of late."""
-        oldest = self._clock() - LIFETIME_SECONDS
+        """Return the valid load of every upstream."""
+        oldest = self._clock() - LOAD_TTL_SECONDS
         self._rows = {name: each for name, each in self._rows.items() if each.at >= oldest}
-        self._numbers = {name: self._numbers[name] for name in self._rows}
+        self._sequences = {name: self._sequences[name] for name in self._rows}
         return list(self._rows.values())
--- a/deckcourse/peers/peers.py
+++ b/deckcourse/peers/peers.py
@@ -1,4 +1,4 @@
-"""A process's part in what the processes of a site know together, put together from its pieces."""
+"""The peer side of one process: gossip, the shared change feed and the relay, assembled."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 from deckcourse.http1.server import Exchange, IncomingRequest
 from deckcourse.peers.datagrams import Datagrams
 from deckcourse.peers.gossip import PeerGossip
-from deckcourse.peers.knowledge import Knowledge
+from deckcourse.peers.knowledge import SharedState
 from deckcourse.peers.loads import LoadBoard
 from deckcourse.peers.member import Member
 from deckcourse.peers.roster import Roster
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class PeerPorts:
-    """This process as others know it, how it reaches them, and who may be there."""
+    """This process as a member, its datagrams, and the addresses of seed processes."""
 
     own: Member
     datagrams: Datagrams
@@ -31,19 +31,20 @@
 
 
 class Peers:
-    """The members of the site and the tables that they follow together.
+    """The membership view and the shared change feed of one process.
 
     Args:
       ports: this process, and how it reaches others.
       store: the feed of the store itself.
-      tables: what is followed.
-      pool: opens connections to others.
+      tables: the names of the tables to follow.
+      pool: opens connections to other processes.
       contact_wait: see `SharedFeed`.
-      on_returned: told the moment at which the store came back, wherever that was seen.
-      random: for choices and pauses that should differ between processes.
-      log: writes decisions.
-      gauge: sets figures that operators see.
-      count: counts by name.
+      on_store_recovered: called with the time at which the store recovered, whichever process
+        observed it.
+      random: for choices and delays that should differ between processes.
+      log: writes the decision log.
+      gauge: sets a gauge by name.
+      count: increments a counter by name.
     """
 
     def __init__(
@@ -53,7 +54,7 @@
         tables: Sequence[str],
         pool: ConnectionPool,
         contact_wait: Callable[[], float],
-        on_returned: Callable[[float], None],
+        on_store_recovered: Callable[[float], None],
         random: Random,
         log: Callable[..., None],
         gauge: Callable[[str, float], None] = lambda name, value: None,
@@ -61,40 +62,42 @@
     ) -> None:
         self._roster = Roster(ports.own, trio.current_time)
         self._gossip = PeerGossip(self._roster, ports.datagrams, ports.seeds, random, count)
-        self._knowledge = Knowledge(tables, on_returned)
+        self._shared_state = SharedState(tables, on_store_recovered)
         self._feed = SharedFeed(
-            store, self._roster, self._knowledge, pool, contact_wait, random, log, gauge, count
+            store, self._roster, self._shared_state, pool, contact_wait, random, log, gauge, count
         )
 
     @property
     def feed(self) -> SharedFeed:
-        """The tables as this process reads them."""
+        """The change feed of this process."""
         return self._feed
 
     @property
     def loads(self) -> LoadBoard:
-        """How much upstreams have to do, by this process's word or others'."""
-        return self._knowledge.loads
+        """The loads of upstreams, from own queries and from other processes."""
+        return self._shared_state.loads
 
     @property
     def roster(self) -> Roster:
-        """Who is there."""
+        """The membership view."""
         return self._roster
 
     @property
     def gossip(self) -> PeerGossip:
-        """The exchange by which processes tell each other of themselves and of crashes."""
+        """The gossip of members and crashes."""
         return self._gossip
 
     async def handle(self, request: IncomingRequest, exchange: Exchange) -> None:
-        """Answer another process, or an operator who asks who is there."""
+        """Serve a subscriber, or an operator that requests the membership view."""
         if request.target == MEMBERS_PATH:
-            kind = (b"content-type", b"application/json")
-            await exchange.whole(200, (kind,), encode_view(view_of(self._roster, self._feed)))
+            content_type = (b"content-type", b"application/json")
+            await exchange.whole(
+                200, (content_type,), encode_view(view_of(self._roster, self._feed))
+            )
             return
         await self._feed.server.handle(request, exchange)
 
     async def leave(self) -> None:
-        """Tell others that this process is about to end, and send away who asks it."""
+        """Announce that this process is leaving, and end the responses to subscribers."""
         await self._gossip.tell_leaving()
         self._feed.server.stop()
--- a/deckcourse/peers/relay.py
+++ b/deckcourse/peers/relay.py
@@ -1,7 +1,7 @@
-"""Passing changes on between processes: one answers questions, the other asks one source at a time.
+"""The relay of changes between processes: a server for subscribers and a client for one source.
 
-A question is one HTTP request whose answer doesn't end: frames come as there is news, and empty
-ones in between, so that silence is noticed.
+A subscription is one HTTP request with an endless response body. Frames are sent as changes occur,
+and empty frames in between, so that the subscriber can detect a silent source.
 """
 
 from collections.abc import Callable
@@ -13,32 +13,32 @@
 from deckcourse.http1.message import ConnectionLostError
 from deckcourse.http1.server import Exchange, IncomingRequest
 from deckcourse.peers.frames import (
+    ChangesRequest,
     FrameReader,
     MalformedFrameError,
-    Question,
-    decode_question,
+    decode_request,
     encode_frame,
-    encode_question,
+    encode_request,
 )
-from deckcourse.peers.knowledge import Knowledge, Listener
+from deckcourse.peers.knowledge import SharedState, Subscriber
 
 __all__ = ["RELAY_PATH", "RelayClient", "RelayEnd", "RelayServer"]
 
 RELAY_PATH = b"/changes"
-# A source says something at least this often, seconds. Changed rows go at once; loads, of which one
-# comes each 0.05 s on a site of 40 first upstreams, go with the next frame.
-BEAT_SECONDS = 0.25
-# One that says nothing for longer is left, seconds: what a loaded machine or a lost packet takes.
-SILENCE_SECONDS = 1.3
-# Changes that come in quick succession are sent together, seconds.
-PAUSE_SECONDS = 0.05
-# A connection that takes nothing for so long is closed, seconds.
-SEND_SECONDS = 2.0
+# A source sends a frame at least this often, seconds. Changed rows are sent at once; loads wait for
+# the next frame, since one arrives every 0.05 s on a site with 40 first-stage upstreams.
+MAX_FRAME_INTERVAL_SECONDS = 0.25
+# A source that is silent for longer is left, seconds; allows for a loaded machine or a lost packet.
+SILENCE_TIMEOUT_SECONDS = 1.3
+# Changes within this time are sent together, seconds.
+COALESCING_SECONDS = 0.05
+# The response ends if a frame cannot be sent within this time, seconds.
+SEND_TIMEOUT_SECONDS = 2.0
 OK = 200
 
 
 class RelayEnd(StrEnum):
-    """Why a source is left."""
+    """The reason for leaving a source."""
 
     UNREACHABLE = "unreachable"
     BROKE_OFF = "broke-off"
@@ -49,96 +49,99 @@
 
 
 class RelayServer:
-    """Answers the questions of other processes.
+    """Sends frames to subscribers.
 
     Args:
-      knowledge: what is passed on.
-      lost: returns whether this process lost the store and heard nothing newer from others.
+      shared_state: the state to relay.
+      is_cut_off: returns whether this process cannot reach the store and got nothing newer from
+        other processes.
     """
 
-    def __init__(self, knowledge: Knowledge, lost: Callable[[], bool]) -> None:
-        self._knowledge = knowledge
-        self._lost = lost
-        self._serving = 0
+    def __init__(self, shared_state: SharedState, is_cut_off: Callable[[], bool]) -> None:
+        self._shared_state = shared_state
+        self._is_cut_off = is_cut_off
+        self._subscriber_count = 0
         self._stopped = False
 
     @property
-    def serving(self) -> int:
-        """How many processes ask this one."""
-        return self._serving
+    def subscriber_count(self) -> int:
+        """The number of processes that receive frames from this one."""
+        return self._subscriber_count
 
     def stop(self) -> None:
-        """Send everybody away; they turn to another source."""
+        """End all responses; the subscribers switch to another source."""
         self._stopped = True
-        self._knowledge.note_progress()
+        self._shared_state.notify_waiters()
 
     async def handle(self, request: IncomingRequest, exchange: Exchange) -> None:
-        """Answer one question for as long as its sender listens."""
-        question = decode_question(request.body)
-        if request.target != RELAY_PATH or question is None or self._stopped:
+        """Serve one subscriber until it disconnects or the server stops."""
+        changes_request = decode_request(request.body)
+        if request.target != RELAY_PATH or changes_request is None or self._stopped:
             await exchange.whole(503 if self._stopped else 404, (), b"")
             return
         origin = trio.current_time()
-        self._serving += 1
+        self._subscriber_count += 1
         try:
             await exchange.start(OK, ())
-            await self._send_frames(Listener(origin, dict(question.versions)), exchange)
+            await self._send_frames(Subscriber(origin, dict(changes_request.versions)), exchange)
         finally:
-            self._serving -= 1
+            self._subscriber_count -= 1
 
-    async def _send_frames(self, listener: Listener, exchange: Exchange) -> None:
+    async def _send_frames(self, subscriber: Subscriber, exchange: Exchange) -> None:
         while not self._stopped:
-            frame = self._knowledge.frame(listener, self._lost())
-            with trio.move_on_after(SEND_SECONDS) as sending:
+            frame = self._shared_state.next_frame(subscriber, self._is_cut_off())
+            with trio.move_on_after(SEND_TIMEOUT_SECONDS) as sending:
                 await exchange.send(encode_frame(frame))
             if sending.cancelled_caught:
                 return
-            await trio.sleep(PAUSE_SECONDS)
-            with trio.move_on_after(BEAT_SECONDS - PAUSE_SECONDS):
-                await self._knowledge.wait()
+            await trio.sleep(COALESCING_SECONDS)
+            with trio.move_on_after(MAX_FRAME_INTERVAL_SECONDS - COALESCING_SECONDS):
+                await self._shared_state.wait_for_update()
 
 
 class RelayClient:
-    """Asks another process for changes.
+    """Receives changes from another process.
 
     Args:
-      name: who asks.
-      knowledge: what frames are taken into.
+      name: the name of this process.
+      shared_state: the state that frames are merged into.
       pool: opens connections.
     """
 
-    def __init__(self, name: str, knowledge: Knowledge, pool: ConnectionPool) -> None:
+    def __init__(self, name: str, shared_state: SharedState, pool: ConnectionPool) -> None:
         self._name = name
-        self._knowledge = knowledge
+        self._shared_state = shared_state
         self._pool = pool
 
-    async def follow(self, address: str, wanted: Callable[[bool], RelayEnd | None]) -> RelayEnd:
-        """Take in what a source says until it is lost or no longer wanted; return why.
+    async def follow(
+        self, address: str, reason_to_leave: Callable[[bool], RelayEnd | None]
+    ) -> RelayEnd:
+        """Merge the frames of a source until it fails or should be left; return the reason.
 
         Args:
-          address: the source.
-          wanted: returns why the source should be left, None where it shouldn't; asked with
-            each frame, and told whether the source lost the store.
+          address: the address of the source.
+          reason_to_leave: called after each frame with whether the source is cut off; returns why
+            the source should be left, None to continue.
         """
-        question = encode_question(Question(self._name, self._knowledge.versions))
+        changes_request = encode_request(ChangesRequest(self._name, self._shared_state.versions))
         headers = (
             (b"host", address.encode()),
-            (b"content-length", str(len(question)).encode()),
+            (b"content-length", str(len(changes_request)).encode()),
         )
         try:
             connection = await self._pool.acquire(address, 0.0)
         except ConnectionLostError:
             return RelayEnd.UNREACHABLE
         try:
-            # The source reads the question later than this: no moment counts for too late.
+            # The source reads the request later than this, so no time is taken for too late.
             origin = trio.current_time()
-            with trio.move_on_after(SILENCE_SECONDS) as waiting:
-                reply = await connection.call(b"POST", RELAY_PATH, headers, question)
+            with trio.move_on_after(SILENCE_TIMEOUT_SECONDS) as waiting:
+                reply = await connection.call(b"POST", RELAY_PATH, headers, changes_request)
             if waiting.cancelled_caught:
                 return RelayEnd.SILENT
             if reply.status != OK:
                 return RelayEnd.UNREACHABLE
-            return await self._take_frames(reply, origin, wanted)
+            return await self._receive_frames(reply, origin, reason_to_leave)
         except ConnectionLostError:
             return RelayEnd.BROKE_OFF
         except MalformedFrameError:
@@ -146,20 +149,23 @@
         finally:
             connection.abort()
 
-    async def _take_frames(
-        self, reply: UpstreamReply, origin: float, wanted: Callable[[bool], RelayEnd | None]
+    async def _receive_frames(
+        self,
+        reply: UpstreamReply,
+        origin: float,
+        reason_to_leave: Callable[[bool], RelayEnd | None],
     ) -> RelayEnd:
         reader = FrameReader()
         while True:
             data: bytes | None = None
-            with trio.move_on_after(SILENCE_SECONDS) as waiting:
+            with trio.move_on_after(SILENCE_TIMEOUT_SECONDS) as waiting:
                 data = await reply.next_data()
             if waiting.cancelled_caught:
                 return RelayEnd.SILENT
             if data is None:
                 return RelayEnd.BROKE_OFF
             for frame in reader.feed(data):
-                self._knowledge.take(frame, origin)
-                end = wanted(frame.lost)
+                self._shared_state.merge(frame, origin)
+                end = reason_to_leave(frame.is_cut_off)
                 if end is not None:
                     return end
--- a/deckcourse/peers/replica.py
+++ b/deckcourse/peers/replica.py
@@ -1,4 +1,4 @@
-"""A copy of one of the store's tables: rows, the changes of late, and up to when it is true."""
+"""The replica of one store table: its rows, its recent changes and the time it is current as of."""
 
 from collections import deque
 from typing import Annotated
@@ -10,36 +10,39 @@
 
 __all__ = ["TableReplica", "TableUpdate", "Version"]
 
-# The changes that are kept for others who are a little behind, bytes; whoever is further behind
-# gets all rows.
-LARGEST_LOG = 512 * 1024
-# Rows that an update holds at the most: small ones take 50 times as much memory as bytes.
-MOST_ROWS = 65_536
-# What a change takes beside its value, bytes.
-CHANGE_BYTES = 100
+# Size of the log of recent changes, kept for processes that are slightly behind; those that are
+# further behind get all rows.
+MAX_LOG_BYTES = 512 * 1024
+# Bounds the memory of an update: small rows take 50 times as much memory as bytes on the wire.
+MAX_ROWS_PER_UPDATE = 65_536
+# Memory that a change takes in addition to its value.
+ROW_OVERHEAD_BYTES = 100
 
 
 Version = Annotated[int, Meta(ge=0)]
 
 
 class TableUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """What changed in a table after version `after` and up to `version`; all rows where it is None.
+    """The rows of a table that changed after version `after` up to `version`.
 
-    A row is its key, its value and the version of its last change; no value where it is gone.
+    It holds all rows if `after` is None. A row is its key, its value and the version of its last
+    change; the value of a deleted row is None.
     """
 
     table: str
     after: Version | None
     version: Version
-    rows: Annotated[tuple[tuple[str, bytes | None, Version], ...], Meta(max_length=MOST_ROWS)] = ()
+    rows: Annotated[
+        tuple[tuple[str, bytes | None, Version], ...], Meta(max_length=MAX_ROWS_PER_UPDATE)
+    ] = ()
 
 
-def _size(update: TableUpdate) -> int:
-    return sum(CHANGE_BYTES + len(value or b"") for _, value, _ in update.rows)
+def _update_bytes(update: TableUpdate) -> int:
+    return sum(ROW_OVERHEAD_BYTES + len(value or b"") for _, value, _ in update.rows)
 
 
 class TableReplica:
-    """A table as one process knows it."""
+    """The state of a table that one process has received."""
 
     def __init__(self, table: str) -> None:
         self._table = table
@@ -51,29 +54,29 @@
 
     @property
     def version(self) -> int | None:
-        """The version up to which every change is in, None before the first reading."""
+        """The version up to which it holds every change, None before the first snapshot."""
         return self._version
 
     @property
     def as_of(self) -> float:
-        """Every change before this moment of this process's clock is in."""
+        """The time on this process's clock before which it holds every change."""
         return self._as_of
 
     @property
     def rows(self) -> tuple[Row, ...]:
-        """All rows, the one that changed last at the end."""
+        """All rows, the most recently changed one last."""
         return tuple(
             Row(f"{self._table}/{key}", version, value)
             for key, (value, version) in self._rows.items()
         )
 
     def confirm(self, version: int, as_of: float) -> None:
-        """Note that nothing after `version` changed before a moment; it counts once that is in."""
+        """Record that `version` was current at `as_of`; ignored while the replica is behind it."""
         if self._version is not None and self._version >= version:
             self._as_of = max(self._as_of, as_of)
 
     def take(self, update: TableUpdate) -> bool:
-        """Take in what changed; return whether it follows on what is known and is newer."""
+        """Apply an update; return whether it is newer and leaves no gap after the known version."""
         if self._version is not None and update.version <= self._version:
             return False
         if update.after is None:
@@ -83,26 +86,26 @@
         elif self._version is None or update.after > self._version:
             return False
         else:
-            self._keep(update)
+            self._append_to_log(update)
         for key, value, version in update.rows:
-            # What changed last stands last.
+            # Keeps the rows in the order of their last change.
             self._rows.pop(key, None)
             if value is not None:
                 self._rows[key] = value, version
         self._version = update.version
         return True
 
-    def _keep(self, update: TableUpdate) -> None:
+    def _append_to_log(self, update: TableUpdate) -> None:
         self._log.append(update)
-        self._log_bytes += _size(update)
-        while self._log_bytes > LARGEST_LOG:
-            self._log_bytes -= _size(self._log.popleft())
+        self._log_bytes += _update_bytes(update)
+        while self._log_bytes > MAX_LOG_BYTES:
+            self._log_bytes -= _update_bytes(self._log.popleft())
 
     def since(self, version: int | None) -> TableUpdate | None:
-        """Return what changed after a version, all rows where that is no longer known.
+        """Return the changes after a version, or all rows if the log no longer covers it.
 
         Returns:
-          None before the first reading.
+          The update, None before the first snapshot.
         """
         if self._version is None:
             return None
@@ -112,5 +115,5 @@
         if later and later[0].after <= version:
             rows = tuple(row for each in later for row in each.rows)
             return TableUpdate(self._table, version, self._version, rows)
-        everything = tuple((key, value, at) for key, (value, at) in self._rows.items())
-        return TableUpdate(self._table, None, self._version, everything)
+        all_rows = tuple((key, value, at) for key, (value, at) in self._rows.items())
+        return TableUpdate(self._table, None, self._version, all_rows)
--- a/deckcourse/peers/shared_feed.py
+++ b/deckcourse/peers/shared_feed.py
@@ -1,8 +1,8 @@
-"""The feed of changes of a process among many: from the store where it follows it, or from others.
+"""The change feed of one process of a site: from the store if it is a follower, else from a source.
 
-Whoever follows asks the store and passes on what it hears (`relay`). The others ask one of those.
-A process that nobody else can be reached from follows by itself; one that follows and lost the
-store asks others meanwhile, so that it serves on.
+A follower reads the store and relays the changes to its subscribers (`relay`); every other process
+subscribes to one follower. A process that can reach no other process follows the store itself. A
+follower that cannot reach the store subscribes to a source meanwhile and keeps serving.
 """
 
 from collections.abc import Callable, Iterator
@@ -15,58 +15,58 @@
 from deckcourse.change_feed import ChangeFeed, Changes, Snapshot
 from deckcourse.http1.client import ConnectionPool
 from deckcourse.peers.followers import followers, sources
-from deckcourse.peers.knowledge import Knowledge
+from deckcourse.peers.knowledge import SharedState
 from deckcourse.peers.member import Member
 from deckcourse.peers.relay import RelayClient, RelayEnd, RelayServer
 from deckcourse.peers.replica import TableUpdate
 from deckcourse.peers.roster import Roster
-from deckcourse.peers.store_turn import StoreTurn
+from deckcourse.peers.store_turn import StoreSchedule
 from deckcourse.table import TableFailure
 
 __all__ = ["SharedFeed"]
 
-# Between two looks at who should follow the store, seconds.
-LOOK_SECONDS = 0.25
-# An answer of the store that tells of changes shows only that it was true when it was asked for,
-# and the next one comes a wait later: what others know is up to so many waits old, and by this much
-# more for pauses and ways, seconds.
-CONTACT_WAITS = 2.0
-LATE_SECONDS = 0.9
-# A source that could not be reached, or was behind others, is left alone for so long, seconds.
-AVOIDED_SECONDS = 3.0
-# A process keeps following the store for so long after the last one that asked it went, seconds.
-KEPT_SECONDS = 3.0
-# How long the store's answer may take beyond a wait, seconds: a slow store takes 60 times its 4 ms.
-# Whoever reads a table gives up a little later.
-ANSWER_SECONDS = 0.75
-# Until when an answer to a reading of a whole table may come from others, seconds.
-READING_SECONDS = 0.75
-# For how long others are heard at the least before the store's turn, where its loss makes a reader
-# ask without a wait, seconds.
-SHORTEST_WAIT_SECONDS = 0.15
+# Interval between decisions on whether this process follows the store, seconds.
+ROLE_INTERVAL_SECONDS = 0.25
+# A store reply with changes is known to be current only as of its request, and the next reply comes
+# one wait later. The state of peers is therefore up to this many waits old, plus a margin for
+# pauses and transit, seconds.
+MAX_STALENESS_WAITS = 2.0
+STALENESS_MARGIN_SECONDS = 0.9
+# A source that was unreachable or stale is avoided for this long, seconds.
+SOURCE_COOLDOWN_SECONDS = 3.0
+# A process remains a follower for this long after its last subscriber left, seconds.
+FOLLOWER_GRACE_SECONDS = 3.0
+# Timeout of a store reply, in addition to its wait, seconds: a slow store takes 60 times its 4 ms.
+# The timeout of the reader (`change_feed`) is slightly longer.
+STORE_TIMEOUT_SECONDS = 0.75
+# How long a snapshot may wait for the state of other processes, seconds.
+SNAPSHOT_TIMEOUT_SECONDS = 0.75
+# Shortest wait for changes from other processes before the store is read, seconds. During an outage
+# readers ask without a wait of their own.
+MIN_WAIT_SECONDS = 0.15
 
 
 class SharedFeed:
-    """Tables as their followers in this process read them; see `ChangeFeed`.
+    """The `ChangeFeed` that the tables of this process are read from.
 
     Args:
       store: the feed of the store itself.
-      roster: who else is there.
-      knowledge: what this process knows of the tables.
-      pool: opens connections to others.
-      contact_wait: returns how long a question to the store waits for changes at the most where its
-        answer shows that the store is in reach, seconds.
-      random: for pauses that should differ between processes.
-      log: writes decisions.
-      gauge: sets figures that operators see.
-      count: counts by name.
+      roster: the membership view.
+      shared_state: the replicas of the tables.
+      pool: opens connections to other processes.
+      contact_wait: returns the longest time for which a read of the store waits for changes, if its
+        reply shows that the store is reachable, seconds.
+      random: jitters delays, so that they differ between processes.
+      log: writes the decision log.
+      gauge: sets a gauge by name.
+      count: increments a counter by name.
     """
 
     def __init__(
         self,
         store: ChangeFeed,
         roster: Roster,
-        knowledge: Knowledge,
+        shared_state: SharedState,
         pool: ConnectionPool,
         contact_wait: Callable[[], float],
         random: Random,
@@ -76,154 +76,156 @@
     ) -> None:
         self._store = store
         self._roster = roster
-        self._knowledge = knowledge
+        self._shared_state = shared_state
         self._contact_wait = contact_wait
         self._log = log
         self._gauge = gauge
         self._count = count
-        self._server = RelayServer(knowledge, self._is_cut_off)
-        self._client = RelayClient(roster.own.name, knowledge, pool)
-        self._unreachable: dict[str, float] = {}
-        self._behind: dict[str, float] = {}
+        self._server = RelayServer(shared_state, self._is_cut_off)
+        self._client = RelayClient(roster.own.name, shared_state, pool)
+        self._unreachable_until: dict[str, float] = {}
+        self._stale_until: dict[str, float] = {}
         self._source = ""
-        self._on_duty = True
-        self._kept_until = float("-inf")
-        self._decided_at = float("-inf")
-        # Questions to the store under way.
-        self._asking_store = 0
-        self._turn = StoreTurn(trio.current_time, random)
+        self._is_follower = True
+        self._follower_until = float("-inf")
+        self._role_updated_at = float("-inf")
+        # Reads of the store in flight.
+        self._store_reads = 0
+        self._schedule = StoreSchedule(trio.current_time, random)
 
     @property
     def server(self) -> RelayServer:
-        """What answers other processes."""
+        """The server that relays changes to subscribers."""
         return self._server
 
     @property
     def source(self) -> str:
-        """The name of the process that this one asks, empty where it asks none."""
+        """The name of the process that this one subscribes to, empty if none."""
         return self._source
 
     @property
     def follows(self) -> bool:
-        """Whether this process follows the store, for others or because it knows no others."""
-        return self._on_duty
+        """Whether this process follows the store, for others or because it can reach none."""
+        return self._is_follower
 
     @property
     def paces(self) -> bool:
-        """Whether a question that comes early waits here for the store's turn or for others' news.
+        """Whether an early read waits here until the store may be read or a source sends changes.
 
-        Where nobody else tells, whoever asks has to leave pauses itself.
+        Without sources, the reader has to back off itself.
         """
         return bool(self._sources())
 
     @property
     def seconds_behind(self) -> float:
-        """The age of the newest thing that this process knows of the store, seconds."""
-        return trio.current_time() - self._knowledge.contact_at
+        """The staleness of the newest replica of this process, seconds."""
+        return trio.current_time() - self._shared_state.latest_as_of
 
-    def _asks_store(self) -> bool:
-        """Return whether a question may go to the store now.
+    def _may_read_store(self) -> bool:
+        """Return whether the store may be read now.
 
-        While the store is lost one question at a time shows whether it is back, for all tables.
+        While the store is unavailable, only one read at a time probes it, on behalf of all tables.
         """
-        if self._turn.lost and self._asking_store:
+        if self._schedule.is_unavailable and self._store_reads:
             return False
-        return self._turn.has_come(self._on_duty)
+        return self._schedule.may_read(self._is_follower)
 
     async def snapshot(self, table: str) -> Result[Snapshot, TableFailure]:
         """Return all rows of a table."""
-        if not self._asks_store():
-            answer = await self._from_others(table, None, READING_SECONDS)
-            if isinstance(answer, Success) or not self._asks_store():
+        if not self._may_read_store():
+            answer = await self._read_replica(table, None, SNAPSHOT_TIMEOUT_SECONDS)
+            if isinstance(answer, Success) or not self._may_read_store():
                 return answer
-        asked_at = trio.current_time()
+        requested_at = trio.current_time()
         answer: Result = Failure(TableFailure.UNAVAILABLE)
-        with self._counted(), trio.move_on_after(ANSWER_SECONDS):
+        with self._count_store_read(), trio.move_on_after(STORE_TIMEOUT_SECONDS):
             answer = await self._store.snapshot(table)
         match answer:
             case Success(Snapshot(rows, version)):
-                found = tuple((_key(each.key), each.value, each.version) for each in rows)
-                self._note_answer(TableUpdate(table, None, version, found), asked_at)
-                return Success(Snapshot(rows, version, asked_at))
+                table_rows = tuple(
+                    (_key_in_table(each.key), each.value, each.version) for each in rows
+                )
+                self._note_success(TableUpdate(table, None, version, table_rows), requested_at)
+                return Success(Snapshot(rows, version, requested_at))
         self._note_failure()
         return answer
 
     async def changes(
         self, table: str, after: int, seconds: float
     ) -> Result[Changes, TableFailure]:
-        """Return what changed after a version, as soon as something did or time is over."""
-        if not self._asks_store():
-            answer = await self._from_others(table, after, max(seconds, SHORTEST_WAIT_SECONDS))
-            if isinstance(answer, Success) or not self._asks_store():
+        """Return the changes after a version, as soon as there are any or the wait is over."""
+        if not self._may_read_store():
+            answer = await self._read_replica(table, after, max(seconds, MIN_WAIT_SECONDS))
+            if isinstance(answer, Success) or not self._may_read_store():
                 return answer
-        asked_at = trio.current_time()
+        requested_at = trio.current_time()
         answer: Result = Failure(TableFailure.UNAVAILABLE)
-        wait = 0.0 if self._turn.lost else seconds
-        with self._counted(), trio.move_on_after(wait + ANSWER_SECONDS):
+        wait = 0.0 if self._schedule.is_unavailable else seconds
+        with self._count_store_read(), trio.move_on_after(wait + STORE_TIMEOUT_SECONDS):
             answer = await self._store.changes(table, after, wait)
         match answer:
             case Success(Changes(rows, version, True)):
                 now = trio.current_time()
-                # An answer without changes is made when the wait is over: until then nothing did.
-                waited = wait if not rows and now - asked_at >= wait else 0.0
-                self._note_answer(TableUpdate(table, after, version, rows), asked_at + waited)
-                return Success(Changes(rows, version, True, asked_at + waited))
+                # A reply without changes is made when the wait ends: nothing changed until then.
+                waited = wait if not rows and now - requested_at >= wait else 0.0
+                self._note_success(TableUpdate(table, after, version, rows), requested_at + waited)
+                return Success(Changes(rows, version, True, requested_at + waited))
             case Success(_):
                 return answer
         self._note_failure()
-        if self._is_known_of_late():
-            return await self._from_others(table, after, seconds)
+        if self._is_fresh():
+            return await self._read_replica(table, after, seconds)
         return answer
 
     @contextmanager
-    def _counted(self) -> Iterator[None]:
-        self._asking_store += 1
+    def _count_store_read(self) -> Iterator[None]:
+        self._store_reads += 1
         try:
             yield
         finally:
-            self._asking_store -= 1
+            self._store_reads -= 1
 
-    def _note_answer(self, update: TableUpdate, as_of: float) -> None:
-        # Rows may have lapsed only while the store was away. Were it taken for that wherever one
-        # process was cut off, whoever it tells would use upstreams that are gone for two seconds.
+    def _note_success(self, update: TableUpdate, as_of: float) -> None:
+        # Rows may have lapsed only if the store itself was unavailable. If one process that was cut
+        # off reported a recovery, its peers would use departed upstreams for two seconds.
         if self._is_cut_off():
-            self._knowledge.note_returned(trio.current_time())
-        self._turn.note_answer()
-        replica = self._knowledge.replica(update.table)
+            self._shared_state.note_store_recovered(trio.current_time())
+        self._schedule.note_success()
+        replica = self._shared_state.replica(update.table)
         replica.take(update)
         replica.confirm(update.version, as_of)
-        self._knowledge.note_progress()
+        self._shared_state.notify_waiters()
 
     def _note_failure(self) -> None:
-        self._turn.note_failure(others_tell=bool(self._sources()))
-        # Whoever listens should know at once: it turns to another source.
-        self._knowledge.note_progress()
+        self._schedule.note_failure(has_sources=bool(self._sources()))
+        # Subscribers should learn at once that this process is cut off, and switch sources.
+        self._shared_state.notify_waiters()
 
     def _is_cut_off(self) -> bool:
-        """Return whether this process lost the store and heard nothing newer from others."""
-        return self._turn.was_away(self._knowledge.contact_at)
+        """Return whether the store is unreachable here and other processes sent nothing newer."""
+        return self._schedule.was_outage(self._shared_state.latest_as_of)
 
-    def _is_known_of_late(self) -> bool:
-        """Return whether what this process knows is as new as what others tell in time."""
-        oldest = CONTACT_WAITS * self._contact_wait() + LATE_SECONDS
-        return self._knowledge.contact_at >= trio.current_time() - oldest
+    def _is_fresh(self) -> bool:
+        """Return whether the replicas are as current as a source with access to the store."""
+        oldest = MAX_STALENESS_WAITS * self._contact_wait() + STALENESS_MARGIN_SECONDS
+        return self._shared_state.latest_as_of >= trio.current_time() - oldest
 
-    async def _from_others(
+    async def _read_replica(
         self, table: str, after: int | None, seconds: float
     ) -> Result[Snapshot | Changes, TableFailure]:
-        """Return news of a table that others tell, as soon as there are any or time is over."""
-        replica = self._knowledge.replica(table)
+        """Return changes from other processes, as soon as there are any or the time is over."""
+        replica = self._shared_state.replica(table)
         as_of = replica.as_of
-        turn = self._turn.next_at(self._on_duty)
-        with trio.move_on_at(min(trio.current_time() + seconds, turn)):
+        next_read_at = self._schedule.next_read_at(self._is_follower)
+        with trio.move_on_at(min(trio.current_time() + seconds, next_read_at)):
             while replica.version in (None, after) and replica.as_of <= as_of:
-                if self._asks_store():
+                if self._may_read_store():
                     break
-                await self._knowledge.wait()
-        if replica.version is None or not self._is_known_of_late():
+                await self._shared_state.wait_for_update()
+        if replica.version is None or not self._is_fresh():
             return Failure(TableFailure.UNAVAILABLE)
-        if not self._on_duty:
-            self._turn.forget_loss()
+        if not self._is_follower:
+            self._schedule.clear_outage()
         if after is None:
             return Success(Snapshot(replica.rows, replica.version, replica.as_of))
         update = replica.since(after)
@@ -232,85 +234,96 @@
         return Success(Changes(update.rows, update.version, True, replica.as_of))
 
     async def run(self) -> None:
-        """Follow the store or a source, as the members that live have it, until cancelled."""
+        """Update the role of this process and subscribe to sources, until cancelled."""
         while True:
-            self._decide()
+            self._update_role()
             source = self._next_source()
             if source is None:
-                await trio.sleep(LOOK_SECONDS)
+                await trio.sleep(ROLE_INTERVAL_SECONDS)
                 continue
             self._source = source.name
             end = await self._client.follow(source.address, self._reason_to_leave)
             self._source = ""
             self._log("source-left", source=source.name, why=str(end))
-            self._note_end(source, end)
+            self._note_relay_end(source, end)
             await trio.lowlevel.checkpoint()
 
-    def _note_end(self, source: Member, end: RelayEnd) -> None:
+    def _note_relay_end(self, source: Member, end: RelayEnd) -> None:
         if end is RelayEnd.MALFORMED:
             self._count("malformed.frame")
-        until = trio.current_time() + AVOIDED_SECONDS
+        until = trio.current_time() + SOURCE_COOLDOWN_SECONDS
         if end is RelayEnd.BEHIND:
-            self._behind[source.name] = until
+            self._stale_until[source.name] = until
         elif end is not RelayEnd.NOT_NEEDED:
-            self._unreachable[source.name] = until
+            self._unreachable_until[source.name] = until
 
-    def _decide(self) -> None:
+    def _update_role(self) -> None:
         """Decide whether this process follows the store."""
-        now = self._decided_at = trio.current_time()
-        if self._server.serving:
-            self._kept_until = now + KEPT_SECONDS
+        now = self._role_updated_at = trio.current_time()
+        if self._server.subscriber_count:
+            self._follower_until = now + FOLLOWER_GRACE_SECONDS
         members = self._roster.live()
         own = self._roster.own
-        chosen = own.name in {each.name for each in followers(members, own.domain)}
-        alone = not self._sources()
-        duty = chosen or alone or now < self._kept_until
-        if duty != self._on_duty:
-            self._on_duty = duty
-            self._log("duty", follows=duty, chosen=chosen, alone=alone, members=len(members))
-            self._knowledge.note_progress()
-        self._turn.note_behind(duty, self.seconds_behind)
-        self._show(members)
-
-    def _show(self, members: tuple[Member, ...]) -> None:
+        is_ranked = own.name in {each.name for each in followers(members, own.domain)}
+        is_alone = not self._sources()
+        is_follower = is_ranked or is_alone or now < self._follower_until
+        if is_follower != self._is_follower:
+            self._is_follower = is_follower
+            self._log(
+                "duty", follows=is_follower, chosen=is_ranked, alone=is_alone, members=len(members)
+            )
+            self._shared_state.notify_waiters()
+        self._schedule.note_staleness(is_follower, self.seconds_behind)
+        self._set_gauges(members)
+
+    def _set_gauges(self, members: tuple[Member, ...]) -> None:
         self._gauge("peers.members", len(members))
-        self._gauge("peers.follows", float(self._on_duty))
-        self._gauge("peers.serving", self._server.serving)
+        self._gauge("peers.follows", float(self._is_follower))
+        self._gauge("peers.serving", self._server.subscriber_count)
         self._gauge("peers.seconds-behind", self.seconds_behind)
 
     def _sources(self) -> tuple[Member, ...]:
-        """Return whom this process may ask, those first that were not behind of late."""
+        """Return the sources that may be used, recently stale ones last."""
         now = trio.current_time()
-        self._unreachable = {name: at for name, at in self._unreachable.items() if at > now}
-        self._behind = {name: at for name, at in self._behind.items() if at > now}
-        found = sources(self._roster.own, self._roster.live(), frozenset(self._unreachable))
-        return tuple(sorted(found, key=lambda each: each.name in self._behind))
+        self._unreachable_until = {
+            name: at for name, at in self._unreachable_until.items() if at > now
+        }
+        self._stale_until = {name: at for name, at in self._stale_until.items() if at > now}
+        candidates = sources(
+            self._roster.own, self._roster.live(), frozenset(self._unreachable_until)
+        )
+        return tuple(sorted(candidates, key=lambda each: each.name in self._stale_until))
 
     def _next_source(self) -> Member | None:
-        """Return whom to ask now, None where the store is asked."""
-        if self._on_duty and not self._turn.lost:
+        """Return the source to subscribe to now, None if this process reads the store."""
+        if self._is_follower and not self._schedule.is_unavailable:
             return None
         return next(iter(self._sources()), None)
 
-    def _reason_to_leave(self, lost: bool) -> RelayEnd | None:
-        """Return why the present source should be left, None where it shouldn't.
+    def _reason_to_leave(self, is_source_cut_off: bool) -> RelayEnd | None:
+        """Return why the current source should be left, None to stay.
 
         Args:
-          lost: whether the source lost the store. Left only when it is behind, an upstream that
-            leaves was heard of 3.1 s late, in one play with a third of the processes cut off.
+          is_source_cut_off: whether the source is cut off from the store; it is then left at once.
+            When it was left only once it was stale, a leaving upstream became known 3.1 s late in
+            a run with a third of the processes cut off.
         """
-        if trio.current_time() < self._decided_at + LOOK_SECONDS and not lost:
+        if (
+            trio.current_time() < self._role_updated_at + ROLE_INTERVAL_SECONDS
+            and not is_source_cut_off
+        ):
             return None
-        self._decide()
-        if self._on_duty and not self._turn.lost:
+        self._update_role()
+        if self._is_follower and not self._schedule.is_unavailable:
             return RelayEnd.NOT_NEEDED
-        found = {each.name for each in self._sources()}
-        if self._is_known_of_late() and not lost:
-            # Whoever is asked follows: a source that others don't ask any more would go on for one.
-            return None if self._source in found else RelayEnd.NOT_NEEDED
-        better = found - {self._source} - self._behind.keys()
+        candidates = {each.name for each in self._sources()}
+        if self._is_fresh() and not is_source_cut_off:
+            # A process with subscribers stays a follower: a source that no other process uses would
+            # go on following the store for this one.
+            return None if self._source in candidates else RelayEnd.NOT_NEEDED
+        better = candidates - {self._source} - self._stale_until.keys()
         return RelayEnd.BEHIND if better else None
 
 
-def _key(name: str) -> str:
+def _key_in_table(name: str) -> str:
     return name.partition("/")[2]
--- a/deckcourse/peers/store_turn.py
+++ b/deckcourse/peers/store_turn.py
@@ -1,90 +1,95 @@
-"""When a process may ask the store: who follows it at once, others hardly ever.
+"""The schedule of one process's reads from the store: followers at once, other processes rarely.
 
-Load pattern: the store is away, or turns some machines down, while hundreds of processes want to
-know of its return. Those that follow it try at short pauses, the others hear it from them; a
-process that heard nothing new for long tries all the same, since those it asks may be cut off too.
+Load pattern: the store is unavailable, or rejects some machines, while hundreds of processes wait
+for its recovery. Followers retry at short intervals and the others learn the outcome from them. A
+process whose state is stale for long reads the store itself, since its sources may be cut off too.
 """
 
 from collections.abc import Callable
 from random import Random
 
-__all__ = ["StoreTurn"]
+__all__ = ["StoreSchedule"]
 
-# Between two tries at a store that doesn't answer, seconds; doubled up to the longest. Others may
-# hear of its return earlier and say so.
-RETRY_SECONDS = 0.15
-LONGEST_RETRY_SECONDS = 0.2
+# Backoff between reads of an unavailable store, seconds; doubled up to the maximum. Other processes
+# may see the recovery first and relay it.
+MIN_RETRY_BACKOFF_SECONDS = 0.15
+MAX_RETRY_BACKOFF_SECONDS = 0.2
 # A process that doesn't follow and heard nothing new for so long tries the store all the same, up
 # to as much later by chance, and again after as long.
-LAST_RESORT_SECONDS = 4.0
+FALLBACK_SECONDS = 4.0
 
 
-class StoreTurn:
-    """The moments at which one process may ask the store.
+class StoreSchedule:
+    """The times at which one process may read the store.
 
     Args:
-      clock: seconds, steady.
-      random: for pauses that should differ between processes.
+      clock: monotonic clock, seconds.
+      random: jitters the delays, so that they differ between processes.
     """
 
     def __init__(self, clock: Callable[[], float], random: Random) -> None:
         self._clock = clock
         self._random = random
-        self._lost_since: float | None = None
-        self._retry = RETRY_SECONDS
+        self._unavailable_since: float | None = None
+        self._backoff = MIN_RETRY_BACKOFF_SECONDS
         self._retry_at = float("-inf")
-        self._resort_at = float("inf")
+        self._fallback_at = float("inf")
 
     @property
-    def lost(self) -> bool:
-        """Whether the store did not answer when it was asked last."""
-        return self._lost_since is not None
+    def is_unavailable(self) -> bool:
+        """Whether the last read of the store failed."""
+        return self._unavailable_since is not None
 
-    def was_away(self, known_at: float) -> bool:
-        """Return whether the store that answers now was away for others too.
+    def was_outage(self, as_of: float) -> bool:
+        """Return whether the store, now available again, was unavailable to other processes too.
 
         Args:
-          known_at: up to when this process knows every change. Where others told of later ones than
-            the store's last sign here, this process alone was cut off.
+          as_of: the time before which this process knows every change. If it is later than the
+            first failed read, other processes relayed it and this process alone was cut off.
         """
-        return self._lost_since is not None and known_at <= self._lost_since
+        return self._unavailable_since is not None and as_of <= self._unavailable_since
 
-    def has_come(self, follows: bool) -> bool:
-        """Return whether a question may go to the store now."""
-        return self._clock() >= self.next_at(follows)
+    def may_read(self, is_follower: bool) -> bool:
+        """Return whether the store may be read now."""
+        return self._clock() >= self.next_read_at(is_follower)
 
-    def next_at(self, follows: bool) -> float:
-        """Return the moment from which on a question may go to the store."""
-        return min(self._retry_at, self._resort_at) if follows else self._resort_at
+    def next_read_at(self, is_follower: bool) -> float:
+        """Return the time from which on the store may be read."""
+        return min(self._retry_at, self._fallback_at) if is_follower else self._fallback_at
 
-    def note_answer(self) -> None:
-        """Note that the store answered."""
-        self._lost_since = None
-        self._retry = RETRY_SECONDS
+    def note_success(self) -> None:
+        """Record that the store answered."""
+        self._unavailable_since = None
+        self._backoff = MIN_RETRY_BACKOFF_SECONDS
         self._retry_at = float("-inf")
-        self._resort_at = float("inf")
+        self._fallback_at = float("inf")
 
-    def note_failure(self, others_tell: bool) -> None:
-        """Note that it didn't; who is alone then tries as often as it is asked to."""
+    def note_failure(self, has_sources: bool) -> None:
+        """Record a failed read.
+
+        Args:
+          has_sources: whether other processes can provide changes. Without sources there is no
+            backoff here: the store may be read as often as readers want to.
+        """
         now = self._clock()
-        if self._lost_since is None:
-            self._lost_since = now
-        if others_tell:
-            self._retry_at = now + self._retry * (1.0 + self._random.random())
-        self._retry = min(2.0 * self._retry, LONGEST_RETRY_SECONDS)
-        if self._resort_at <= now:
-            self._resort_at = now + self._pause()
-
-    def forget_loss(self) -> None:
-        """Note that others answer for the store: that it was lost says nothing any more."""
-        self._lost_since = None
-
-    def note_behind(self, follows: bool, seconds: float) -> None:
-        """Note how old the newest thing is that this process knows of the store."""
-        if follows or seconds < LAST_RESORT_SECONDS:
-            self._resort_at = float("inf")
-        elif self._resort_at == float("inf"):
-            self._resort_at = self._clock() + self._pause()
-
-    def _pause(self) -> float:
-        return LAST_RESORT_SECONDS * (1.0 + self._random.random())
+        if self._unavailable_since is None:
+            self._unavailable_since = now
+        if has_sources:
+            self._retry_at = now + self._backoff * (1.0 + self._random.random())
+        self._backoff = min(2.0 * self._backoff, MAX_RETRY_BACKOFF_SECONDS)
+        if self._fallback_at <= now:
+            self._fallback_at = now + self._fallback_delay()
+
+    def clear_outage(self) -> None:
+        """Forget the outage: other processes provide current state in place of the store."""
+        self._unavailable_since = None
+
+    def note_staleness(self, is_follower: bool, seconds: float) -> None:
+        """Schedule or cancel the fallback read by how stale the state of this process is."""
+        if is_follower or seconds < FALLBACK_SECONDS:
+            self._fallback_at = float("inf")
+        elif self._fallback_at == float("inf"):
+            self._fallback_at = self._clock() + self._fallback_delay()
+
+    def _fallback_delay(self) -> float:
+        return FALLBACK_SECONDS * (1.0 + self._random.random())
--- a/deckcourse/peers/view.py
+++ b/deckcourse/peers/view.py
@@ -1,4 +1,4 @@
-"""What one process knows of the others, as an operator sees it."""
+"""The membership view of one process, as shown to operators."""
 
 import msgspec
 
@@ -11,7 +11,7 @@
 
 
 class MemberView(msgspec.Struct, frozen=True):
-    """One member that lives."""
+    """One live member."""
 
     name: str
     domain: str
@@ -20,10 +20,16 @@
 
 
 class PeersView(msgspec.Struct, frozen=True):
-    """One process, whom it hears changes from, and who lives as far as it knows.
-
-    `source` is empty where it follows the store itself; `seconds_behind` is the age of the newest
-    thing that it knows of the store.
+    """One process, where it receives changes from, and the members that it considers live.
+
+    Attributes:
+      name: the name of the process.
+      domain: its failure domain.
+      follows: whether it follows the store.
+      source: the process that it subscribes to, empty if none.
+      serving: the number of its subscribers.
+      seconds_behind: the staleness of its newest replica.
+      members: the live members.
     """
 
     name: str
@@ -36,28 +42,28 @@
 
 
 def view_of(roster: Roster, feed: SharedFeed) -> PeersView:
-    """Return what a process knows now."""
+    """Return the current view of a process."""
     live = sorted(roster.live(), key=lambda each: (each.domain, each.name))
     return PeersView(
         roster.own.name,
         roster.own.domain,
         feed.follows,
         feed.source,
-        feed.server.serving,
+        feed.server.subscriber_count,
         round(feed.seconds_behind, 3),
         tuple(MemberView(each.name, each.domain, each.address, each.leaving) for each in live),
     )
 
 
 def encode_view(view: PeersView) -> bytes:
-    """Return a view as JSON."""
+    """Encode a view as JSON."""
     return msgspec.json.encode(view)
 
 
 def decode_view(data: bytes) -> PeersView:
-    """Return the view in an answer.
+    """Decode the view in a response body.
 
     Raises:
-      msgspec.MsgspecError: the answer is none.
+      msgspec.MsgspecError: the body is malformed.
     """
     return msgspec.json.decode(data, type=PeersView)
--- a/features/mutants_peers.py
+++ b/features/mutants_peers.py
@@ -7,18 +7,18 @@
 from deckcourse.decisions import path_draw, path_load, usual_paths
 from deckcourse.gateway.retry_allowance import RetryAllowance
 from deckcourse.layers.healer import Healer
-from deckcourse.peers.knowledge import Knowledge
+from deckcourse.peers.knowledge import SharedState
 from deckcourse.peers.relay import RelayEnd
 from deckcourse.peers.roster import Roster
 from deckcourse.peers.shared_feed import SharedFeed
 
 
 def everybody_asks_the_store():
-    SharedFeed._asks_store = lambda self: True
+    SharedFeed._may_read_store = lambda self: True
 
 
 def silence_goes_unnoticed():
-    relay_module.SILENCE_SECONDS = 1000.0
+    relay_module.SILENCE_TIMEOUT_SECONDS = 1000.0
 
 
 def sources_behind_are_kept():
@@ -32,13 +32,13 @@
 
 
 def frames_count_from_arrival():
-    kept = Knowledge.take
+    kept = SharedState.merge
 
-    def take(self, frame, origin):
+    def merge(self, frame, origin):
         newest = max((seconds for _, seconds in frame.as_of.values()), default=0.0)
         kept(self, frame, trio.current_time() - newest)
 
-    Knowledge.take = take
+    SharedState.merge = merge
 
 
 def the_dead_live_on():
--- a/features/steps/foreign_frame_steps.py
+++ b/features/steps/foreign_frame_steps.py
@@ -37,15 +37,15 @@
 from deckcourse.layers.plan_book import PLAN_TABLE, PlanBook, PlanRecord, PlanWon
 from deckcourse.peers.followers import followers
 from deckcourse.peers.frames import (
+    ChangesRequest,
     Frame,
     FrameReader,
     MalformedFrameError,
-    Question,
-    decode_question,
+    decode_request,
     encode_frame,
-    encode_question,
+    encode_request,
 )
-from deckcourse.peers.knowledge import Knowledge, Listener
+from deckcourse.peers.knowledge import SharedState, Subscriber
 from deckcourse.peers.loads import LoadBoard, LoadRow
 from deckcourse.peers.member import Digest, Member, decode_digest, encode_digest
 from deckcourse.peers.replica import TableUpdate
@@ -151,19 +151,19 @@
 
 @then("a question with nested lists behind its last field is none")
 def no_question(context):
-    assert decode_question(b"\x92\xa1a\x80") == Question("a", {})
-    assert decode_question(b"\x93\xa1a\x80" + b"\x91" * DEEP + b"\xc0") is None
+    assert decode_request(b"\x92\xa1a\x80") == ChangesRequest("a", {})
+    assert decode_request(b"\x93\xa1a\x80" + b"\x91" * DEEP + b"\xc0") is None
 
 
 @then("what a process tells of loads and moments that it holds is always a frame")
 def always_a_frame(context):
     async def work():
-        knowledge = Knowledge(TABLES, lambda moment: None)
+        knowledge = SharedState(TABLES, lambda moment: None)
         # Known from a peer that said nothing of moments.
-        knowledge.take(Frame((GOOD_UPDATE,), {}), trio.current_time())
+        knowledge.merge(Frame((GOOD_UPDATE,), {}), trio.current_time())
         for running, share in ((-1, 0.5), (10**9, 0.5), (1, float("nan")), (1, -0.5), (2, 0.5)):
             knowledge.loads.note(LoadRow(f"{running} {share}", running, 0, share, 0.0))
-        return knowledge.frame(Listener(trio.current_time(), {}))
+        return knowledge.next_frame(Subscriber(trio.current_time(), {}))
 
     frame = virtually(work)
     (got,) = FrameReader().feed(encode_frame(frame))
@@ -179,14 +179,14 @@
     async def work():
         await trio.sleep(100.0)
         heard = Heard()
-        knowledge = Knowledge(TABLES, lambda at: setattr(heard, "returned", at))
+        knowledge = SharedState(TABLES, lambda at: setattr(heard, "returned", at))
         late = 86_400.0
         frame = Frame((GOOD_UPDATE,), {"servers": (5, late)}, late,
                       (LoadRow("a", 1, 2, 0.5, late),))  # fmt: skip
-        knowledge.take(frame, trio.current_time() - 5.0)
+        knowledge.merge(frame, trio.current_time() - 5.0)
         now = trio.current_time()
         load = knowledge.loads.known("a")
-        return knowledge.contact_at <= now, heard.returned <= now, load.at <= now
+        return knowledge.latest_as_of <= now, heard.returned <= now, load.at <= now
 
     assert virtually(work) == (True, True, True)
 
@@ -355,28 +355,28 @@
 
     async def check_one(data):
         await trio.sleep(100.0)
-        knowledge = Knowledge(TABLES, lambda moment: None)
+        knowledge = SharedState(TABLES, lambda moment: None)
         reader = FrameReader()
         try:
             for frame in reader.feed(encode_frame(GOOD_FRAME)):
-                knowledge.take(frame, trio.current_time() - 1.0)
+                knowledge.merge(frame, trio.current_time() - 1.0)
             for frame in reader.feed(framed(data)):
-                knowledge.take(frame, trio.current_time() - 1.0)
+                knowledge.merge(frame, trio.current_time() - 1.0)
         except MalformedFrameError:
             # Up to here everything good was taken in.
             assert {each.key for each in knowledge.replica("servers").rows} >= {"servers/a"}
-        assert knowledge.contact_at <= trio.current_time()
+        assert knowledge.latest_as_of <= trio.current_time()
         assert all(each.at <= trio.current_time() for each in knowledge.loads.all())
 
     async def ask_one(data):
-        knowledge = Knowledge(TABLES, lambda moment: None)
-        knowledge.take(GOOD_FRAME, trio.current_time())
-        question = decode_question(data)
+        knowledge = SharedState(TABLES, lambda moment: None)
+        knowledge.merge(GOOD_FRAME, trio.current_time())
+        question = decode_request(data)
         if question is not None:
-            encode_frame(knowledge.frame(Listener(0.0, dict(question.versions))))
+            encode_frame(knowledge.next_frame(Subscriber(0.0, dict(question.versions))))
 
     @reproducible(count)
-    @hypothesis_given(mutated(body), mutated(encode_question(Question("a", {"servers": 4}))))
+    @hypothesis_given(mutated(body), mutated(encode_request(ChangesRequest("a", {"servers": 4}))))
     def check(data, question):
         virtually(lambda: check_one(data))
         virtually(lambda: ask_one(question))
--- a/features/steps/peer_feed_steps.py
+++ b/features/steps/peer_feed_steps.py
@@ -8,7 +8,7 @@
 from peer_world import SETTLE_SECONDS, PeerWorld
 
 from deckcourse.http1.client import ConnectionPool
-from deckcourse.peers.followers import FOLLOWERS
+from deckcourse.peers.followers import FOLLOWERS_PER_DOMAIN
 from deckcourse.peers.loads import LoadRow
 from deckcourse.peers.replica import TableReplica, TableUpdate
 from deckcourse.peers.view import MEMBERS_PATH, decode_view
@@ -75,7 +75,9 @@
 
     async def story(world):
         await trio.sleep(SETTLE_SECONDS)
-        assert len(world.following()) == FOLLOWERS, [each.name for each in world.following()]
+        assert len(world.following()) == FOLLOWERS_PER_DOMAIN, [
+            each.name for each in world.following()
+        ]
         lose(world, whole)
         await trio.sleep(0.3)
         world.store.put("servers", "after", {"n": 1})
--- a/features/steps/peer_steps.py
+++ b/features/steps/peer_steps.py
@@ -4,7 +4,7 @@
 from behave import given, then, when
 from peer_world import SETTLE_SECONDS, PeerProcess, PeerWorld
 
-from deckcourse.peers.followers import FOLLOWERS, followers
+from deckcourse.peers.followers import FOLLOWERS_PER_DOMAIN, followers
 from deckcourse.peers.gossip import MEMBERS_PER_DIGEST
 from deckcourse.peers.member import Digest, Member, encode_digest
 from deckcourse.peers.roster import Roster
@@ -47,7 +47,7 @@
         assert there <= known, (process.name, there - known)
     domains = {each.domain for each in context.world.processes}
     assert len(context.firsts) == len(domains), context.firsts
-    assert FOLLOWERS == 2
+    assert FOLLOWERS_PER_DOMAIN == 2
 
 
 def killed(world):
