--- a/deckcourse/http1/client.py
+++ b/deckcourse/http1/client.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams over h11, and the pool that keeps idle ones for the next call."""
+"""Connections to upstreams over h11, and the pool that reuses idle ones."""
 
 import re
 from collections import defaultdict, deque
@@ -25,25 +25,27 @@
     "UpstreamReply",
 ]
 
-# Idle connections are kept this long where the upstream names no time of its own, seconds.
-IDLE_SECONDS = 20.0
-# An upstream's own idle time is given in whole seconds; stop this long before it, seconds.
+# How long an idle connection is kept if the upstream sends no Keep-Alive timeout.
+DEFAULT_IDLE_SECONDS = 20.0
+# An upstream's Keep-Alive timeout is given in whole seconds; its connections are dropped this much
+# earlier.
 IDLE_MARGIN_SECONDS = 0.6
-# An upstream may send an answer a second time, in the place where a later one is due on the same
-# connection. Of the last so many calls one is expected, and no more answers than that in a row.
+# An upstream may send an answer a second time, in place of a later one on the same connection. An
+# answer is recognized as a duplicate if it belongs to one of this many recent calls, and at most
+# this many duplicates in a row are skipped.
 REMEMBERED_CALLS = 8
-# Such an answer comes in one piece. One whose end isn't here so long after its head may have none,
-# and the answer behind it would never be seen, seconds.
+# A duplicate answer arrives in one piece. One that is not complete this long after its head may
+# have no end, and would hide the answer that follows it.
 SURPLUS_SECONDS = 0.03
-# The name of all calls whose answers carry none.
+# The name of calls whose answers carry no request id.
 NAMELESS = ""
-# The largest answer that is kept in memory whole, bytes.
-LARGEST_WHOLE = 4 * 1024 * 1024
+# Largest response body that is held in memory.
+MAX_BODY_BYTES = 4 * 1024 * 1024
 _STATUS_LINE = re.compile(rb"HTTP/1\.[01] [0-9]{3}")
 
 
 class UpstreamReply:
-    """The head of an answer, and its body as it comes."""
+    """The head of an answer, and its body as it arrives."""
 
     def __init__(self, status: int, headers: Headers, connection: "UpstreamConnection") -> None:
         self.status = status
@@ -52,14 +54,14 @@
 
     @property
     def followed(self) -> bool:
-        """Whether bytes came behind the whole answer."""
-        return self._connection.surplus
+        """Whether bytes arrived after the complete answer."""
+        return self._connection.has_trailing_bytes
 
     async def next_data(self) -> bytes | None:
         """Return the next bytes of the body, None after its proper end.
 
         Raises:
-          ConnectionLostError: the body broke off.
+          ConnectionLostError: the body was cut off.
         """
         return await self._connection.next_data()
 
@@ -67,18 +69,20 @@
         """Return the whole body.
 
         Raises:
-          ConnectionLostError: the body broke off or is larger than memory allows.
+          ConnectionLostError: the body was cut off or exceeds MAX_BODY_BYTES.
         """
         body = bytearray()
         while (data := await self.next_data()) is not None:
             body += data
-            if len(body) > LARGEST_WHOLE:
-                raise ConnectionLostError(FailureKind.MALFORMED, "the answer is too large to keep")
+            if len(body) > MAX_BODY_BYTES:
+                raise ConnectionLostError(
+                    FailureKind.MALFORMED, "the answer is too large to buffer"
+                )
         return bytes(body)
 
 
 class UpstreamConnection:
-    """One connection; one call at a time."""
+    """A connection to an upstream, for one call at a time."""
 
     def __init__(self, address: str, transport: Transport) -> None:
         self.address = address
@@ -86,27 +90,27 @@
         self._h11 = h11.Connection(h11.CLIENT)
         self._closing = False
         self._ended = False
-        self._keep_seconds = IDLE_SECONDS
+        self._idle_seconds = DEFAULT_IDLE_SECONDS
         self._parked_at = 0.0
         self._idle_deadline = 0.0
-        self._calls: deque[str] = deque(maxlen=REMEMBERED_CALLS)
-        self._request: tuple[h11.Event, ...] = ()
+        self._recent_calls: deque[str] = deque(maxlen=REMEMBERED_CALLS)
+        self._request_events: tuple[h11.Event, ...] = ()
 
     @property
-    def surplus(self) -> bool:
-        """Whether bytes came behind the answer that was read last."""
+    def has_trailing_bytes(self) -> bool:
+        """Whether bytes arrived after the most recent answer."""
         return bool(self._h11.trailing_data[0])
 
     def note_call(self, name: str) -> None:
-        """Remember a call by the name that its answer carries, or as NAMELESS."""
-        self._calls.append(name)
+        """Remember a call by the request id that its answer carries, or as NAMELESS."""
+        self._recent_calls.append(name)
 
     def had_call(self, name: str) -> bool:
-        """Return whether one of the last calls had a name: its answer may come here once more."""
-        return name in self._calls
+        """Return whether a recent call had this name: a duplicate of its answer may arrive."""
+        return name in self._recent_calls
 
     def retire(self) -> None:
-        """Let it be closed after this call."""
+        """Close the connection after the current call."""
         self._closing = True
 
     async def call(
@@ -115,36 +119,38 @@
         """Send a request and return the head of its answer.
 
         Raises:
-          ConnectionLostError: LOST once a byte may have left, MALFORMED for what is no answer.
+          ConnectionLostError: UNSENT if the request is invalid, LOST once a byte may have been
+            sent, MALFORMED if the received bytes are not a valid answer.
         """
         try:
             head = h11.Request(method=method, target=target, headers=list(headers))
             content = (h11.Data(data=body),) if body else ()
-            self._request = (head, *content, h11.EndOfMessage())
+            self._request_events = (head, *content, h11.EndOfMessage())
             data = self._request_bytes()
         except h11.LocalProtocolError as error:
             raise ConnectionLostError(FailureKind.UNSENT, str(error)) from error
         try:
             await self._transport.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
-            raise ConnectionLostError(FailureKind.LOST, _reason(error)) from error
+            raise ConnectionLostError(FailureKind.LOST, _error_text(error)) from error
         return await self._read_head()
 
     def _request_bytes(self) -> bytes:
-        return b"".join(self._h11.send(each) or b"" for each in self._request)
+        return b"".join(self._h11.send(each) or b"" for each in self._request_events)
 
     async def next_reply(self) -> UpstreamReply:
-        """Pass over the answer that began, which is an earlier call's; return the next one's head.
+        """Skip the current answer, which is a duplicate, and return the head of the next one.
 
         Raises:
-          ConnectionLostError: as `call`; MALFORMED too where the answer isn't whole or is the last.
+          ConnectionLostError: as `call`; also MALFORMED if the skipped answer is incomplete or the
+            last one on the connection.
         """
         with trio.move_on_after(SURPLUS_SECONDS):
             while await self.next_data() is not None:
                 pass
         try:
             self._h11.start_next_cycle()
-            self._request_bytes()  # They left with the call; the parser is to expect an answer.
+            self._request_bytes()  # Already sent by `call`; h11 must expect an answer again.
         except h11.LocalProtocolError as error:
             raise ConnectionLostError(FailureKind.MALFORMED, str(error)) from error
         return await self._read_head()
@@ -153,21 +159,23 @@
         while True:
             event = await self._next_event()
             if _is_merged(event):
-                raise ConnectionLostError(FailureKind.MALFORMED, "a head inside another one")
+                raise ConnectionLostError(
+                    FailureKind.MALFORMED, "the response head contains another one"
+                )
             if isinstance(event, h11.Response):
                 headers = tuple((bytes(name), bytes(value)) for name, value in event.headers)
-                self._note_keeping(headers)
+                self._read_keep_alive(headers)
                 return UpstreamReply(event.status_code, headers, self)
             if not isinstance(event, h11.InformationalResponse):
-                raise ConnectionLostError(FailureKind.LOST, "closed without an answer")
+                raise ConnectionLostError(FailureKind.LOST, "connection closed without an answer")
 
-    def _note_keeping(self, headers: Headers) -> None:
+    def _read_keep_alive(self, headers: Headers) -> None:
         if b"close" in header_value(headers, b"connection").lower():
             self._closing = True
-        for part in header_value(headers, b"keep-alive").split(b","):
-            name, _, value = part.strip().partition(b"=")
+        for parameter in header_value(headers, b"keep-alive").split(b","):
+            name, _, value = parameter.strip().partition(b"=")
             if name.lower() == b"timeout" and value.strip().isdigit():
-                self._keep_seconds = float(value) - IDLE_MARGIN_SECONDS
+                self._idle_seconds = float(value) - IDLE_MARGIN_SECONDS
 
     async def next_data(self) -> bytes | None:
         """See `UpstreamReply.next_data`."""
@@ -176,7 +184,7 @@
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return None
-        raise ConnectionLostError(FailureKind.LOST, "the answer broke off")
+        raise ConnectionLostError(FailureKind.LOST, "the answer was cut off")
 
     async def _next_event(self) -> h11.Event:
         try:
@@ -191,49 +199,49 @@
             kind = FailureKind.LOST if self._ended else FailureKind.MALFORMED
             raise ConnectionLostError(kind, str(error)) from error
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
-            raise ConnectionLostError(FailureKind.LOST, _reason(error)) from error
+            raise ConnectionLostError(FailureKind.LOST, _error_text(error)) from error
 
     def reusable(self) -> bool:
-        """Return whether another call may follow: whole answer read, nothing behind it."""
+        """Return whether another call may follow: answer read to its end, no trailing bytes."""
         if self._closing or self._ended or self._h11.our_state is not h11.DONE:
             return False
-        if self._h11.their_state is not h11.DONE or self.surplus:
+        if self._h11.their_state is not h11.DONE or self.has_trailing_bytes:
             return False
-        return self._keep_seconds > 0
+        return self._idle_seconds > 0
 
     def park(self) -> None:
-        """Make ready for the next call."""
-        self._request = ()
+        """Prepare for the next call and start the idle time."""
+        self._request_events = ()
         self._h11.start_next_cycle()
         self._parked_at = trio.current_time()
-        self._idle_deadline = self._parked_at + self._keep_seconds
+        self._idle_deadline = self._parked_at + self._idle_seconds
 
-    def sound(self, longest_idle: float) -> bool:
-        """Return whether an idle connection may be used: not old, not closed, no surplus bytes.
+    def sound(self, max_idle_seconds: float) -> bool:
+        """Return whether an idle connection may be used: not expired, not closed, no unread bytes.
 
         Args:
-          longest_idle: for how long it may have been idle at the most, seconds.
+          max_idle_seconds: how long it may have been idle.
         """
         now = trio.current_time()
-        if now >= self._idle_deadline or now - self._parked_at > longest_idle:
+        if now >= self._idle_deadline or now - self._parked_at > max_idle_seconds:
             return False
         return not self._transport.readable()
 
     def is_quiet(self) -> bool:
-        """Return whether neither bytes nor the other side's end are here unread."""
+        """Return whether no bytes and no close of the peer are waiting to be read."""
         return not self._transport.readable()
 
     def abort(self) -> None:
-        """Close at once; the upstream sees it and stops what it does for this call."""
+        """Close without waiting; the upstream notices and stops the execution of the call."""
         self._transport.close()
 
 
 class ConnectionPool:
-    """Idle connections by address; the newest is taken first, so that the others can age out.
+    """Idle connections by address. The most recently used is reused first, so that others expire.
 
     Args:
-      count: counts by name.
-      dial: opens a connection; TCP where none is given.
+      count: increments a counter by name.
+      dial: opens a connection; by default over TCP.
     """
 
     def __init__(self, count: Callable[[str], None], dial: Dial | None = None) -> None:
@@ -242,68 +250,74 @@
         self._count = count
 
     async def acquire(
-        self, address: str, longest_idle: float = IDLE_SECONDS, unlike: str | None = None
+        self,
+        address: str,
+        max_idle_seconds: float = DEFAULT_IDLE_SECONDS,
+        unlike: str | None = None,
     ) -> UpstreamConnection:
-        """Return a connection to `IP:port`, an idle one if there is a sound one.
+        """Return a connection to `IP:port`, an idle one if any is usable.
 
         Args:
-          address: where to.
-          longest_idle: an idle connection older than this isn't taken, seconds.
-          unlike: nor is one that had a call of this name of late: a second answer to that call
-            could not be told from the answer to this one.
+          address: the address of the upstream.
+          max_idle_seconds: idle connections unused for longer are not taken.
+          unlike: idle connections that recently had a call of this name are not taken either: a
+            duplicate of its answer would be taken for the answer to this call.
 
         Raises:
-          ConnectionLostError: UNSENT, the address can't be reached.
+          ConnectionLostError: UNSENT, the address is unreachable.
         """
-        connection = self._take_idle(address, longest_idle, unlike)
+        connection = self._take_idle(address, max_idle_seconds, unlike)
         if connection is not None:
             self._count("connection.reused")
             return connection
         return await self.open(address)
 
     async def open(self, address: str) -> UpstreamConnection:
-        """Return a new connection to `IP:port`, whatever idle ones there are.
+        """Return a new connection to `IP:port`, even if there are idle ones.
 
         Raises:
-          ConnectionLostError: UNSENT, the address can't be reached.
+          ConnectionLostError: UNSENT, the address is unreachable.
         """
         self._count("connection.opened")
         return UpstreamConnection(address, await self._dial(address))
 
     def _take_idle(
-        self, address: str, longest_idle: float, unlike: str | None
+        self, address: str, max_idle_seconds: float, unlike: str | None
     ) -> UpstreamConnection | None:
         idle = self._idle.get(address, [])
-        for place in reversed(range(len(idle))):
-            connection = idle[place]
-            if not connection.sound(longest_idle):
+        for index in reversed(range(len(idle))):
+            connection = idle[index]
+            if not connection.sound(max_idle_seconds):
                 self._count("connection.unsound")
-                idle.pop(place).abort()
+                idle.pop(index).abort()
             elif unlike is None or not connection.had_call(unlike):
-                return idle.pop(place)
+                return idle.pop(index)
         return None
 
     @asynccontextmanager
     async def lent(
-        self, address: str, longest_idle: float = IDLE_SECONDS, unlike: str | None = None
+        self,
+        address: str,
+        max_idle_seconds: float = DEFAULT_IDLE_SECONDS,
+        unlike: str | None = None,
     ) -> AsyncIterator[UpstreamConnection]:
-        """Lend a connection for one call; it is closed where the call doesn't end by itself.
+        """Acquire a connection for one call; close it if the call is interrupted.
 
         Args:
           address: see `acquire`.
-          longest_idle: see `acquire`.
+          max_idle_seconds: see `acquire`.
           unlike: see `acquire`.
 
         Raises:
-          ConnectionLostError: UNSENT, the address can't be reached.
+          ConnectionLostError: UNSENT, the address is unreachable.
         """
-        connection = await self.acquire(address, longest_idle, unlike)
+        connection = await self.acquire(address, max_idle_seconds, unlike)
         with self.kept_or_closed(connection):
             yield connection
 
     @contextmanager
     def kept_or_closed(self, connection: UpstreamConnection) -> Iterator[None]:
-        """Make one call inside; the connection is kept after it, or closed where it broke off.
+        """Release the connection after the call made inside, or close it if that raises.
 
         Args:
           connection: from `acquire`.
@@ -316,7 +330,7 @@
         self.release(connection)
 
     def release(self, connection: UpstreamConnection) -> None:
-        """Give a connection back; it is kept only if the call on it ended properly."""
+        """Return a connection to the pool; close it instead if its call did not end properly."""
         if not connection.reusable():
             connection.abort()
             return
@@ -324,25 +338,25 @@
         self._idle[connection.address].append(connection)
 
     def idle(self, address: str) -> int:
-        """Return how many connections to an address are kept at the moment."""
+        """Return the number of idle connections to an address."""
         return len(self._idle.get(address, ()))
 
     def forget(self, address: str) -> None:
-        """Close the idle connections of an address that is gone."""
+        """Close the idle connections to an address that is no longer used."""
         for connection in self._idle.pop(address, []):
             connection.abort()
 
 
 def _is_merged(event: h11.Event) -> bool:
-    """Return whether a head holds the beginning of another one.
+    """Return whether a response head contains the beginning of another one.
 
-    Surplus bytes may end inside a head. The answer behind them would get their status, which may be
-    the promise that a request was not run.
+    Trailing bytes of an earlier answer may end inside a head. The answer that follows would get the
+    status of that head, which may say that the request was not executed.
     """
     if not isinstance(event, h11.Response | h11.InformationalResponse):
         return False
     return any(map(_STATUS_LINE.search, (event.reason, *(value for _, value in event.headers))))
 
 
-def _reason(error: BaseException) -> str:
+def _error_text(error: BaseException) -> str:
     return str(error.__cause__ or error)
--- a/deckcourse/http1/memory.py
+++ b/deckcourse/http1/memory.py
@@ -1,4 +1,4 @@
-"""Connections in memory in place of TCP, for tests: machines may die or fall silent."""
+"""Connections in memory instead of TCP, for tests: hosts can crash or become unresponsive."""
 
 from collections import defaultdict
 from collections.abc import Callable
@@ -12,34 +12,37 @@
 
 __all__ = ["MemoryNetwork"]
 
-# One way between two machines of a failure domain, seconds.
+# One-way delay between two hosts of a failure domain.
 DELAY_SECONDS = 0.0002
 
 
 class _MemoryTransport:
-    """One end of a connection in memory."""
+    """The client end of a connection in memory."""
 
     def __init__(
-        self, stream: trio.StapledStream, dark: Callable[[], bool], gone: Callable[[], bool]
+        self,
+        stream: trio.StapledStream,
+        is_silent: Callable[[], bool],
+        is_closed: Callable[[], bool],
     ) -> None:
         self._stream = stream
-        self._dark = dark
-        self._gone = gone
+        self._is_silent = is_silent
+        self._is_closed = is_closed
 
-    async def receive_some(self, most: int) -> bytes:
-        data = await self._stream.receive_some(most)
-        if self._dark():
+    async def receive_some(self, max_bytes: int) -> bytes:
+        data = await self._stream.receive_some(max_bytes)
+        if self._is_silent():
             await trio.sleep_forever()
         return data
 
     async def send_all(self, data: bytes) -> None:
         await trio.sleep(DELAY_SECONDS)
-        if not self._dark():
+        if not self._is_silent():
             await self._stream.send_all(data)
 
     def readable(self) -> bool:
-        # Nothing is said between two calls, unless the other side closed its end.
-        return self._gone()
+        # Only a close of the server's end can arrive between two calls.
+        return self._is_closed()
 
     def close(self) -> None:
         self._stream.send_stream.close()
@@ -47,52 +50,59 @@
 
 
 class MemoryNetwork:
-    """Addresses that answer, refuse, or say nothing."""
+    """A network of addresses that answer, refuse connections or stay silent.
+
+    Args:
+      nursery: runs the servers.
+      limits: returns the limits of the servers.
+    """
 
     def __init__(self, nursery: trio.Nursery, limits: Callable[[], ConnectionLimits]) -> None:
         self._nursery = nursery
         self._limits = limits
         self._handlers: dict[str, Handler] = {}
-        self._dark: set[str] = set()
-        self._ends: dict[str, list[trio.StapledStream]] = defaultdict(list)
+        self._silent: set[str] = set()
+        self._server_streams: dict[str, list[trio.StapledStream]] = defaultdict(list)
 
     def listen(self, address: str, handler: Handler) -> None:
-        """Answer requests at an address."""
+        """Serve requests at an address."""
         self._handlers[address] = handler
-        self._dark.discard(address)
+        self._silent.discard(address)
 
     def kill(self, address: str) -> None:
-        """Reset what is open at an address, and refuse what comes."""
+        """Reset all connections to an address, and refuse new ones."""
         self._handlers.pop(address, None)
         self.reset(address)
 
     def reset(self, address: str) -> None:
-        """Cut every open connection to an address."""
-        for end in self._ends.pop(address, []):
+        """Reset all open connections to an address."""
+        for end in self._server_streams.pop(address, []):
             end.send_stream.close()
             end.receive_stream.close()
 
     def darken(self, address: str) -> None:
-        """Let an address say nothing, neither on open connections nor on new ones."""
-        self._dark.add(address)
+        """Make an address silent, on open connections and for new ones."""
+        self._silent.add(address)
 
     async def dial(self, address: str) -> Transport:
         """Connect to an address.
 
         Raises:
-          ConnectionLostError: UNSENT, nothing listens there.
+          ConnectionLostError: UNSENT, the address does not accept connections.
         """
         await trio.sleep(2 * DELAY_SECONDS)
-        if address in self._dark:
+        if address in self._silent:
             await trio.sleep_forever()
         handler = self._handlers.get(address)
         if handler is None:
             raise ConnectionLostError(FailureKind.UNSENT, f"{address}: refused")
-        near, far = memory_stream_pair()
-        self._ends[address].append(far)
-        self._nursery.start_soon(self._serve, far, handler)
+        client_stream, server_stream = memory_stream_pair()
+        self._server_streams[address].append(server_stream)
+        self._nursery.start_soon(self._serve, server_stream, handler)
         return _MemoryTransport(
-            near, lambda: address in self._dark, lambda: far not in self._ends.get(address, [])
+            client_stream,
+            lambda: address in self._silent,
+            lambda: server_stream not in self._server_streams.get(address, []),
         )
 
     async def _serve(self, end: trio.StapledStream, handler: Handler) -> None:
--- a/deckcourse/http1/message.py
+++ b/deckcourse/http1/message.py
@@ -1,4 +1,4 @@
-"""What both sides of an HTTP/1.1 connection share: headers, sizes and failures."""
+"""Definitions for both sides of an HTTP/1.1 connection: headers, sizes and failures."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -13,13 +13,13 @@
     "header_value",
 ]
 
-# Names in lower case, in the order in which they came.
+# Names in lower case, in the order received.
 Headers = tuple[tuple[bytes, bytes], ...]
 
-# One read of a socket, in bytes: an event of a stream is a tenth of it.
+# Size of one read from a socket; about ten times an event of a stream.
 READ_BYTES = 16 * 1024
 
-# Headers that concern one connection only (RFC 9110, 7.6.1).
+# Headers that apply to a single connection (RFC 9110, 7.6.1).
 _HOP_BY_HOP = frozenset(
     {
         b"connection",
@@ -36,7 +36,7 @@
 
 
 class FailureKind(StrEnum):
-    """How far a call had come when its connection failed."""
+    """The stage at which the connection of a call failed."""
 
     UNSENT = "unsent"
     LOST = "lost"
@@ -45,9 +45,12 @@
 
 @dataclass
 class ConnectionLostError(Exception):
-    """A connection failed; the gateway turns it into an outcome where it is caught.
+    """A connection failed; the gateway converts it to an outcome where it is caught.
 
-    `UNSENT` says that no byte of the request left this process, so that nobody ran it.
+    Attributes:
+      kind: the stage of the call. UNSENT means that no byte of the request left this process, so
+        that no upstream executed it.
+      message: the details.
     """
 
     kind: FailureKind
@@ -58,7 +61,7 @@
 
 
 def header_value(headers: Iterable[tuple[bytes, bytes]], name: bytes) -> bytes:
-    """Return the first header of a lower-case name, empty where it's absent."""
+    """Return the value of the first header with a lower-case name, empty if there is none."""
     for each, value in headers:
         if each == name:
             return value
@@ -66,8 +69,8 @@
 
 
 def end_to_end(headers: Iterable[tuple[bytes, bytes]]) -> Headers:
-    """Return the headers that travel on, without those that concern one connection only."""
+    """Return the headers to forward, without the hop-by-hop ones."""
     headers = tuple(headers)
-    named = header_value(headers, b"connection").lower().split(b",")
-    local = _HOP_BY_HOP.union(each.strip() for each in named)
-    return tuple((name, value) for name, value in headers if name not in local)
+    listed = header_value(headers, b"connection").lower().split(b",")
+    connection_headers = _HOP_BY_HOP.union(each.strip() for each in listed)
+    return tuple((name, value) for name, value in headers if name not in connection_headers)
--- a/deckcourse/http1/server.py
+++ b/deckcourse/http1/server.py
@@ -1,7 +1,7 @@
-"""One accepted HTTP/1.1 connection: requests in, answers out, and the sender's leaving noticed.
+"""The server side of an HTTP/1.1 connection, including detection of a client that disconnects.
 
-h11 frames the messages; this module decides when a connection may be kept and when it closes,
-which the HTTP server library does not leave to its application.
+h11 parses and serializes the messages; this module decides when a connection is kept open and when
+it is closed. HTTP server libraries do not leave that decision to the application.
 """
 
 from collections.abc import Awaitable, Callable, Iterator
@@ -25,18 +25,18 @@
     "serve_connection",
 ]
 
-# The time for one answer to an unusable request to leave, seconds.
-LAST_ANSWER_SECONDS = 1.0
-# What a caller may send ahead of an answer that it is still waiting for, bytes.
-LARGEST_AHEAD = 64 * 1024
-# The value of SO_LINGER with which a close is a reset: on, and no time to linger.
+# How long sending an error response may take.
+ERROR_RESPONSE_TIMEOUT_SECONDS = 1.0
+# Bytes that a client may send while its current request is being answered.
+MAX_PIPELINED_BYTES = 64 * 1024
+# SO_LINGER value that makes a close send a reset: on, with a linger time of 0.
 RESET_ON_CLOSE = pack("ii", 1, 0)
 
 
 class ConnectionLimits(Protocol):
-    """What a caller may send and how long it may take; seconds and bytes.
+    """Limits on the size of requests and on the time to send them, in bytes and seconds.
 
-    They are read anew for each request, since the configuration may change meanwhile.
+    They are read again for each request, since the configuration may change.
     """
 
     header_bytes: int
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class IncomingRequest:
-    """A whole request; `target` is the path and query byte for byte."""
+    """A complete request; `target` is the path and query, byte for byte."""
 
     method: bytes
     target: bytes
@@ -55,37 +55,37 @@
     body: bytes
 
 
-class _UnusableRequestError(Exception):
-    """The request can't be served; `status` tells the sender why."""
+class _RejectedRequestError(Exception):
+    """The request cannot be served; `status` is the status to answer with."""
 
     def __init__(self, status: int) -> None:
         super().__init__(status)
         self.status = status
 
 
-class _SenderGoneError(Exception):
-    """The sender closed the connection or fell silent between requests."""
+class _ClientGoneError(Exception):
+    """The client closed the connection, or was idle for too long between requests."""
 
 
 class RestingConnections:
-    """The connections on which no request is under way; they may be closed without harm."""
+    """The connections without a request in progress; they may be closed at any time."""
 
     def __init__(self) -> None:
         self._scopes: set[trio.CancelScope] = set()
         self._closed = False
 
     def close(self) -> None:
-        """Close those that rest, and from now on each one as soon as it would."""
+        """Close these connections, and from now on each one as soon as it becomes idle."""
         self._closed = True
         for scope in list(self._scopes):
             scope.cancel()
 
     @contextmanager
-    def rest(self) -> Iterator[None]:
-        """Wait for the next request inside.
+    def waiting_for_request(self) -> Iterator[None]:
+        """Count a connection as idle while the next request is awaited inside.
 
         Raises:
-          _SenderGoneError: the connection is to be closed.
+          _ClientGoneError: the connection is to be closed.
         """
         with trio.CancelScope() as scope:
             if self._closed:
@@ -96,15 +96,15 @@
             finally:
                 self._scopes.discard(scope)
         if scope.cancelled_caught:
-            raise _SenderGoneError
+            raise _ClientGoneError
 
 
 class Exchange:
-    """The answer to one request; a 2xx begins with `start`, everything short is one `whole`.
+    """The response to one request: streamed by `start`, `send` and `finish`, or sent by `whole`.
 
-    A write that is cancelled before it begins has no effect: another answer may still be given. One
-    that is cancelled later tears the connection: each further write raises
-    `trio.BrokenResourceError`, as it does where the caller is gone.
+    A write that is cancelled before it begins has no effect: another response may still be sent. If
+    it is cancelled later, the connection is torn: each further write raises
+    `trio.BrokenResourceError`, as it does once the client has disconnected.
     """
 
     def __init__(self, connection: "_Connection") -> None:
@@ -112,31 +112,31 @@
 
     @property
     def started(self) -> bool:
-        """Whether the writing of an answer to the connection's present request has begun."""
-        return self._connection.answering
+        """Whether a response to the current request of the connection has been started."""
+        return self._connection.has_started
 
     @property
     def torn(self) -> bool:
-        """Whether the writing of a part of the answer began and did not end."""
+        """Whether a write of the response was started and not completed."""
         return self._connection.torn
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Send the head of an answer whose body follows; chunked where no length is given."""
+        """Send the head of a response whose body follows; chunked if `headers` give no length."""
         await self._connection.send_head(status, headers)
 
     async def send(self, data: bytes) -> None:
-        """Send a part of the body at once."""
+        """Send a part of the body immediately."""
         await self._connection.send(h11.Data(data=data))
 
     async def finish(self) -> None:
-        """Say that the body is whole."""
+        """Mark the end of the body."""
         await self._connection.send(h11.EndOfMessage())
 
     async def whole(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         length = (b"content-length", str(len(body)).encode())
-        kept = tuple(each for each in headers if each[0] != b"content-length")
-        await self._connection.send_whole(status, (*kept, length), body)
+        other_headers = tuple(each for each in headers if each[0] != b"content-length")
+        await self._connection.send_whole(status, (*other_headers, length), body)
 
 
 Handler = Callable[[IncomingRequest, Exchange], Awaitable[None]]
@@ -153,28 +153,30 @@
 
     Args:
       stream: the accepted connection; closed on return.
-      handler: answers one request; cancelled when the sender leaves. An answer that it began and
-        did not finish is cut off, so that it can't look whole.
+      handler: responds to one request; cancelled when the client disconnects. A response that it
+        started and did not finish is cut off, so that it does not look complete.
       limits: returns the limits in force.
-      closing: tells whether answers should ask the sender to close.
-      resting: where the connection is found while no request is on it.
+      closing: returns whether responses should ask the client to close the connection.
+      resting: the set that holds the connection while it has no request in progress.
     """
     connection = _Connection(stream, handler, limits, closing, resting or RestingConnections())
     try:
         await connection.run()
-    except* (trio.BrokenResourceError, trio.ClosedResourceError, _SenderGoneError):
-        pass  # The sender left; there is nobody to tell.
+    except* (trio.BrokenResourceError, trio.ClosedResourceError, _ClientGoneError):
+        pass  # The client has disconnected; no response can be sent.
     finally:
-        if connection.ends_like_a_whole_answer:
+        if connection.close_looks_complete:
             _reset_on_close(stream)
-        with trio.CancelScope(shield=True, deadline=trio.current_time() + LAST_ANSWER_SECONDS):
+        with trio.CancelScope(
+            shield=True, deadline=trio.current_time() + ERROR_RESPONSE_TIMEOUT_SECONDS
+        ):
             await trio.aclose_forcefully(stream)
 
 
 def _reset_on_close(stream: trio.abc.Stream) -> None:
-    """Let the connection's end be a reset, where it's TCP."""
+    """Make the close of a TCP connection a reset."""
     if isinstance(stream, trio.SocketStream):
-        with suppress(OSError):  # It may be closed already.
+        with suppress(OSError):  # The socket may be closed already.
             stream.setsockopt(SOL_SOCKET, SO_LINGER, RESET_ON_CLOSE)
 
 
@@ -199,47 +201,47 @@
 
     @property
     def torn(self) -> bool:
-        """Whether a write began and did not end: nobody knows how much of it left."""
+        """Whether a write was started and not completed: how much of it was sent is unknown."""
         return self._torn
 
     @property
-    def ends_like_a_whole_answer(self) -> bool:
-        """Whether the end of the connection would pass for the end of an answer that isn't whole.
+    def close_looks_complete(self) -> bool:
+        """Whether closing the connection would make an incomplete response look complete.
 
-        A caller of HTTP/1.0 knows no chunks: an answer without a length ends with its connection.
+        An HTTP/1.0 client does not support chunks: a response without a length ends at the close.
         """
-        unfinished = self._torn or self._h11.our_state is h11.SEND_BODY
-        return unfinished and self._h11.their_http_version == b"1.0"
+        is_incomplete = self._torn or self._h11.our_state is h11.SEND_BODY
+        return is_incomplete and self._h11.their_http_version == b"1.0"
 
     @property
-    def answering(self) -> bool:
-        """Whether an answer to the request has begun."""
+    def has_started(self) -> bool:
+        """Whether a response to the current request has been started."""
         return self._h11.our_state not in (h11.IDLE, h11.SEND_RESPONSE)
 
     async def run(self) -> None:
         while True:
             try:
                 request = await self._read_request()
-            except _UnusableRequestError as unusable:
-                await self._refuse(unusable.status)
+            except _RejectedRequestError as rejected:
+                await self._reject(rejected.status)
                 return
-            await self._answer(request)
+            await self._handle_request(request)
             if self._h11.our_state is not h11.DONE or self._h11.their_state is not h11.DONE:
                 return
             self._h11.start_next_cycle()
 
-    async def _answer(self, request: IncomingRequest) -> None:
-        """Run the handler; leave off as soon as the sender is gone."""
+    async def _handle_request(self, request: IncomingRequest) -> None:
+        """Run the handler; cancel it as soon as the client disconnects."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._watch_sender, nursery.cancel_scope)
+            nursery.start_soon(self._watch_client, nursery.cancel_scope)
             await self._handler(request, Exchange(self))
             nursery.cancel_scope.cancel()
         if self._torn or self._h11.our_state is not h11.DONE:
-            raise _SenderGoneError
+            raise _ClientGoneError
 
-    async def _watch_sender(self, scope: trio.CancelScope) -> None:
-        ahead = 0
-        while ahead < LARGEST_AHEAD:
+    async def _watch_client(self, scope: trio.CancelScope) -> None:
+        pipelined_bytes = 0
+        while pipelined_bytes < MAX_PIPELINED_BYTES:
             try:
                 data = await self._stream.receive_some(READ_BYTES)
             except (trio.BrokenResourceError, trio.ClosedResourceError):
@@ -247,7 +249,7 @@
             if not data:
                 scope.cancel()
                 return
-            ahead += len(data)
+            pipelined_bytes += len(data)
             self._h11.receive_data(data)
 
     async def _read_request(self) -> IncomingRequest:
@@ -256,14 +258,14 @@
             head = await self._read_head(limits)
             body = await self._read_body(limits)
         except h11.RemoteProtocolError as error:
-            raise _UnusableRequestError(error.error_status_hint) from error
+            raise _RejectedRequestError(error.error_status_hint) from error
         headers = tuple((bytes(name), bytes(value)) for name, value in head.headers)
         return IncomingRequest(bytes(head.method), bytes(head.target), headers, body)
 
     async def _read_head(self, limits: ConnectionLimits) -> h11.Request:
         event = self._h11.next_event()
         if event is h11.NEED_DATA:
-            with self._resting.rest():
+            with self._resting.waiting_for_request():
                 await self._receive(trio.current_time() + limits.idle_seconds, None)
             event = self._h11.next_event()
         deadline = trio.current_time() + limits.header_seconds
@@ -271,10 +273,10 @@
             await self._receive(deadline, 408)
             event = self._h11.next_event()
         if not isinstance(event, h11.Request):
-            raise _SenderGoneError
+            raise _ClientGoneError
         size = sum(len(name) + len(value) for name, value in event.headers) + len(event.target)
         if size > limits.header_bytes:
-            raise _UnusableRequestError(431)
+            raise _RejectedRequestError(431)
         return event
 
     async def _read_body(self, limits: ConnectionLimits) -> bytes:
@@ -288,32 +290,32 @@
             elif isinstance(event, h11.Data):
                 body += event.data
                 if len(body) > limits.body_bytes:
-                    raise _UnusableRequestError(413)
+                    raise _RejectedRequestError(413)
             elif isinstance(event, h11.EndOfMessage):
                 return bytes(body)
             else:
-                raise _SenderGoneError
+                raise _ClientGoneError
 
-    async def _receive(self, deadline: float, late_status: int | None) -> None:
+    async def _receive(self, deadline: float, timeout_status: int | None) -> None:
         data = None
         with trio.move_on_at(deadline):
             data = await self._stream.receive_some(READ_BYTES)
-        if data is None and late_status is not None:
-            raise _UnusableRequestError(late_status)
+        if data is None and timeout_status is not None:
+            raise _RejectedRequestError(timeout_status)
         if not data:
-            raise _SenderGoneError
+            raise _ClientGoneError
         self._h11.receive_data(data)
 
     async def send(self, *events: h11.Event) -> None:
         """Send events in one write.
 
         Raises:
-          trio.BrokenResourceError: the caller is gone, or an earlier write was cut short.
+          trio.BrokenResourceError: the client has disconnected, or an earlier write was incomplete.
         """
         if self._torn:
-            raise trio.BrokenResourceError("an earlier write was cut short")
-        # h11 takes as sent what it hands out. A cancellation comes before that, so that a head that
-        # never left isn't followed by a chunk; one that comes later leaves the connection torn.
+            raise trio.BrokenResourceError("an earlier write was incomplete")
+        # h11 counts the bytes it returns as sent. A pending cancellation is delivered before that,
+        # so that no chunk follows a head that was never sent. A later one leaves it torn.
         await trio.lowlevel.checkpoint_if_cancelled()
         data = b"".join(self._h11.send(each) or b"" for each in events)
         if not data:
@@ -333,11 +335,11 @@
     async def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
         await self.send(self._head(status, headers), h11.Data(data=body), h11.EndOfMessage())
 
-    async def _refuse(self, status: int) -> None:
-        """Answer a request that could not be read, and close."""
+    async def _reject(self, status: int) -> None:
+        """Answer an unreadable request with an error status; the connection is then closed."""
         if self._h11.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         headers = ((b"content-length", b"0"), (b"connection", b"close"))
-        with trio.move_on_after(LAST_ANSWER_SECONDS):
+        with trio.move_on_after(ERROR_RESPONSE_TIMEOUT_SECONDS):
             head = h11.Response(status_code=status, headers=list(headers))
             await self.send(head, h11.EndOfMessage())
--- a/deckcourse/http1/transport.py
+++ b/deckcourse/http1/transport.py
@@ -1,4 +1,4 @@
-"""The bytes of a connection to an upstream, over TCP."""
+"""The byte transport of a connection to an upstream, and its TCP implementation."""
 
 from collections.abc import Awaitable, Callable
 from typing import Protocol
@@ -9,25 +9,25 @@
 
 __all__ = ["Dial", "Transport", "dial_tcp"]
 
-# An address in the same region answers within 2 ms; one whose first packet was dropped answers
-# the second after a second, too late for most calls. Seconds.
-CONNECT_SECONDS = 0.4
+# A host in the same region accepts within 2 ms. If the first packet is dropped, it is sent again
+# after 1 s, which is too late for most calls.
+CONNECT_TIMEOUT_SECONDS = 0.4
 
 
 class Transport(Protocol):
-    """The bytes of one connection."""
+    """Sends and receives the bytes of one connection."""
 
-    async def receive_some(self, most: int) -> bytes:
-        """Return the next bytes, none after the other side's end."""
+    async def receive_some(self, max_bytes: int) -> bytes:
+        """Return the next bytes, at most `max_bytes`; empty after the peer has closed."""
 
     async def send_all(self, data: bytes) -> None:
-        """Send bytes."""
+        """Send all bytes."""
 
     def readable(self) -> bool:
-        """Return whether bytes or the other side's end are here already."""
+        """Return whether received bytes or the peer's close are waiting to be read."""
 
     def close(self) -> None:
-        """Close at once."""
+        """Close without waiting."""
 
 
 class _TcpTransport:
@@ -52,18 +52,16 @@
     """Connect to `IP:port`.
 
     Raises:
-      ConnectionLostError: UNSENT, the address can't be reached in time.
+      ConnectionLostError: UNSENT, the connection failed or timed out.
     """
     host, _, port = address.rpartition(":")
     socket = trio.socket.socket()
     try:
-        with trio.fail_after(CONNECT_SECONDS):
+        with trio.fail_after(CONNECT_TIMEOUT_SECONDS):
             await socket.connect((host, int(port)))
     except trio.TooSlowError as error:
         socket.close()
-        raise ConnectionLostError(
-            FailureKind.UNSENT, f"no connection in time: {address}"
-        ) from error
+        raise ConnectionLostError(FailureKind.UNSENT, f"connect timed out: {address}") from error
     except (OSError, OverflowError, ValueError) as error:
         socket.close()
         raise ConnectionLostError(FailureKind.UNSENT, f"{address}: {error}") from error
