--- a/deckcourse/http1/server.py
+++ b/deckcourse/http1/server.py
@@ -147,7 +147,7 @@
     handler: Handler,
     limits: Callable[[], ConnectionLimits],
     closing: Callable[[], bool],
-    resting: RestingConnections | None = None,
+    idle_connections: RestingConnections | None = None,
 ) -> None:
     """Serve the requests of one connection until either side closes it.
 
@@ -157,9 +157,11 @@
         started and did not finish is cut off, so that it does not look complete.
       limits: returns the limits in force.
       closing: returns whether responses should ask the client to close the connection.
-      resting: the set that holds the connection while it has no request in progress.
+      idle_connections: the set that holds the connection while it has no request in progress.
     """
-    connection = _Connection(stream, handler, limits, closing, resting or RestingConnections())
+    connection = _Connection(
+        stream, handler, limits, closing, idle_connections or RestingConnections()
+    )
     try:
         await connection.run()
     except* (trio.BrokenResourceError, trio.ClosedResourceError, _ClientGoneError):
@@ -189,9 +191,9 @@
         handler: Handler,
         limits: Callable[[], ConnectionLimits],
         closing: Callable[[], bool],
-        resting: RestingConnections,
+        idle_connections: RestingConnections,
     ) -> None:
-        self._resting = resting
+        self._idle_connections = idle_connections
         self._stream = stream
         self._handler = handler
         self._limits = limits
@@ -265,7 +267,7 @@
     async def _read_head(self, limits: ConnectionLimits) -> h11.Request:
         event = self._h11.next_event()
         if event is h11.NEED_DATA:
-            with self._resting.waiting_for_request():
+            with self._idle_connections.waiting_for_request():
                 await self._receive(trio.current_time() + limits.idle_seconds, None)
             event = self._h11.next_event()
         deadline = trio.current_time() + limits.header_seconds
--- a/deckcourse/peers/relay.py
+++ b/deckcourse/peers/relay.py
@@ -44,7 +44,7 @@
     BROKE_OFF = "broke-off"
     MALFORMED = "malformed"
     SILENT = "silent"
-    BEHIND = "behind"
+    STALE = "behind"
     NOT_NEEDED = "not-needed"
 
 
--- a/deckcourse/peers/shared_feed.py
+++ b/deckcourse/peers/shared_feed.py
@@ -252,7 +252,7 @@
         if end is RelayEnd.MALFORMED:
             self._count("malformed.frame")
         until = trio.current_time() + SOURCE_COOLDOWN_SECONDS
-        if end is RelayEnd.BEHIND:
+        if end is RelayEnd.STALE:
             self._stale_until[source.name] = until
         elif end is not RelayEnd.NOT_NEEDED:
             self._unreachable_until[source.name] = until
@@ -322,7 +322,7 @@
             # go on following the store for this one.
             return None if self._source in candidates else RelayEnd.NOT_NEEDED
         better = candidates - {self._source} - self._stale_until.keys()
-        return RelayEnd.BEHIND if better else None
+        return RelayEnd.STALE if better else None
 
 
 def _key_in_table(name: str) -> str:
--- a/features/mutants_peers.py
+++ b/features/mutants_peers.py
@@ -26,7 +26,7 @@
 
     def reason(self):
         found = kept(self)
-        return None if found is RelayEnd.BEHIND else found
+        return None if found is RelayEnd.STALE else found
 
     SharedFeed._reason_to_leave = reason
 
--- a/features/peers.feature
+++ b/features/peers.feature
@@ -1,9 +1,9 @@
-Feature: What processes know together: who is there, who follows the store, and what others tell
+Feature: Processes of a site share a membership view, the followers of the store and its changes
 
-  Scenario Outline: Everybody comes to know everybody of its domain: <case>
+  Scenario Outline: Each process discovers all members of its domain: <case>
     Given <count> processes in each of <domains> domains that know only <seeds> seeds
     When datagrams are lost <lost> times in 100 and <seconds> seconds pass
-    Then each process knows all of its domain, and each domain has the same 2 that follow
+    Then each process knows all members of its domain and agrees on its 2 followers
 
     Examples:
       | case               | count | domains | seeds | lost | seconds |
@@ -12,9 +12,9 @@
       | a lossy network    | 20    | 3       | 3     | 10   | 15      |
       | one seed is stale  | 10    | 2       | 1     | 0    | 10      |
 
-  Scenario Outline: A process that goes is forgotten, and one that comes back is known anew: <case>
+  Scenario Outline: Departed members are removed, and restarted ones are added again: <case>
     Given 12 processes in each of 2 domains that know only 3 seeds
-    When they have found each other and <event>
+    When they have discovered each other and <event>
     Then within <seconds> seconds <outcome>
 
     Examples:
@@ -24,19 +24,19 @@
       | restarted       | a process restarts with a later clock | 6      | everybody of its domain knows its new start |
       | cut in two      | the domains are cut apart for 20 seconds and joined | 8 | each knows somebody of the other domain |
 
-  Scenario: A digest stays within one packet, however many members there are
+  Scenario: A digest fits in one packet regardless of the number of members
     Given 400 processes in each of 1 domains that know only 1 seeds
-    When one of them knows all others
+    When one of them knows all other members
     Then its digest has at most 1400 bytes
 
-  Scenario: The heavier of two processes is first as much more often
-    Then over 2000 keys a node of weight 10 among 9 of weight 1 comes first 45 to 60 times in 100
+  Scenario: A process ranks first in proportion to its weight
+    Then over 2000 keys a node of weight 10 among 9 of weight 1 ranks first 45 to 60 times in 100
 
-  Scenario Outline: Few ask the store: <case>
+  Scenario Outline: Only few processes read the store: <case>
     Given <count> processes of one domain over one store
     When <changes> rows change over <seconds> seconds
     Then every process has every change within <late> seconds
-    And the store was asked at most <calls> times from the tenth second on
+    And the store was read at most <calls> times from the tenth second on
 
     Examples:
       | case          | count | changes | seconds | late | calls |
@@ -44,11 +44,11 @@
       | many          | 30    | 20      | 10      | 0.6  | 160   |
       | nothing to do | 30    | 0       | 10      | 0.6  | 60    |
 
-  Scenario Outline: Whoever is lost, the others go on knowing: <case>
+  Scenario Outline: Changes still reach all live processes after a failure: <case>
     Given 12 processes of one domain over one store
     When they have settled and <event>
-    Then a change that follows is known to all that live within <late> seconds
-    And nobody who lives is more than <age> seconds behind meanwhile
+    Then the next change reaches all live processes within <late> seconds
+    And no live process is ever more than <age> seconds stale
 
     Examples:
       | case                          | event                                        | late | age |
@@ -59,10 +59,10 @@
       | both lose the store           | both that follow lose the store              | 9.0  | 9.5 |
       | most lose it, not those       | all but the first that follows lose the store | 2.0 | 3.5 |
 
-  Scenario Outline: Only a store that was away for all counts as returned: <case>
+  Scenario Outline: Only an outage that affects all processes ends in a recovery: <case>
     Given 12 processes of one domain over one store
     When they have settled and <lost> can't reach the store for <seconds> seconds
-    Then afterwards <told> count it as returned
+    Then afterwards <told> record a recovery of it
 
     Examples:
       | case                 | lost                   | seconds | told    |
@@ -71,36 +71,36 @@
       | the store was away   | everybody              | 4       | all     |
       | away for a moment    | everybody              | 2.5     | all     |
 
-  Scenario: A moment that others tell is never later than it was
+  Scenario: A time received from another process is never later than the true one
     Given processes whose frames take 0.9 seconds to arrive
-    Then whoever takes a moment for known has every change before it
+    Then each process has every change before the time that it is current as of
 
-  Scenario Outline: What one asks of upstreams all know: <case>
+  Scenario Outline: The load that one process queries is relayed to all: <case>
     Given <count> processes of one domain over one store
-    When they have settled and an upstream's load becomes known to one that follows
-    Then all know it within <late> seconds, as old as it is
+    When they have settled and an upstream's load becomes known to a follower
+    Then all subscribers know it within <late> seconds, with its true age
 
     Examples:
       | case  | count | late |
       | few   | 3     | 0.3  |
       | many  | 30    | 0.3  |
 
-  Scenario: An operator sees who is there and whom each hears from
+  Scenario: An operator sees the members and the source of each process
     Given 12 processes of one domain over one store
-    When they have settled and an operator asks each of them
-    Then each tells of 12 members, 2 follow the store and the others hear from those
+    When they have settled and an operator requests the view of each
+    Then each lists 12 members, 2 follow the store and are the sources of the others
 
-  Scenario: Nobody storms a store that is away
+  Scenario: Processes do not flood an unavailable store with reads
     Given 30 processes of one domain over one store
-    When they have settled and the store is away for 10 seconds
-    Then the store was asked at most 150 times meanwhile
-    And everybody knows of its return within 2.5 seconds
+    When they have settled and the store is unavailable for 10 seconds
+    Then the store was read at most 150 times during the outage
+    And all processes learn of its recovery within 2.5 seconds
 
-  Scenario Outline: The store's return is known at once, and costs few questions: <case>
+  Scenario Outline: The store's recovery is known at once and costs few reads: <case>
     Given <count> processes of one domain over one store
-    When they have settled and the store is away for <seconds> seconds
-    Then the store was asked at most <calls> times meanwhile
-    And everybody knows of its return within <late> seconds
+    When they have settled and the store is unavailable for <seconds> seconds
+    Then the store was read at most <calls> times during the outage
+    And all processes learn of its recovery within <late> seconds
 
     Examples:
       | case        | count | seconds | calls | late |
@@ -109,5 +109,5 @@
       | few         | 3     | 8       | 90    | 0.6  |
       | for a moment | 12   | 2       | 30    | 0.6  |
 
-  Scenario: Copies of a table agree whatever the order in which updates come
-    Then 300 random series of updates, readings and repeats leave copies that hold what the store held
+  Scenario: Replicas of a table agree regardless of the order of updates
+    Then 300 random series of updates, snapshots and duplicates leave replicas that equal the store
--- a/features/steps/peer_feed_steps.py
+++ b/features/steps/peer_feed_steps.py
@@ -41,7 +41,7 @@
     assert context.late <= late, context.late
 
 
-@then("the store was asked at most {calls:d} times from the tenth second on")
+@then("the store was read at most {calls:d} times from the tenth second on")
 def asked_at_most(context, calls):
     assert context.calls <= calls, context.calls
 
@@ -93,17 +93,17 @@
     context.world.play(story)
 
 
-@then("a change that follows is known to all that live within {late:g} seconds")
+@then("the next change reaches all live processes within {late:g} seconds")
 def change_known(context, late):
     assert context.after is not None and context.after <= late, context.after
 
 
-@then("nobody who lives is more than {age:g} seconds behind meanwhile")
+@then("no live process is ever more than {age:g} seconds stale")
 def not_behind(context, age):
     assert context.worst <= age, context.worst
 
 
-@when("they have settled and an upstream's load becomes known to one that follows")
+@when("they have settled and an upstream's load becomes known to a follower")
 def load_known(context):
     async def story(world):
         await trio.sleep(SETTLE_SECONDS)
@@ -129,13 +129,13 @@
     context.world.play(story)
 
 
-@then("all know it within {late:g} seconds, as old as it is")
+@then("all subscribers know it within {late:g} seconds, with its true age")
 def load_in_time(context, late):
     assert context.after is not None and context.after <= late, context.after
     assert context.told
 
 
-@when("they have settled and an operator asks each of them")
+@when("they have settled and an operator requests the view of each")
 def operator_asks(context):
     async def story(world):
         await trio.sleep(SETTLE_SECONDS)
@@ -149,7 +149,7 @@
     context.world.play(story)
 
 
-@then("each tells of {count:d} members, {few:d} follow the store and the others hear from those")
+@then("each lists {count:d} members, {few:d} follow the store and are the sources of the others")
 def operator_sees(context, count, few):
     assert all(len(each.members) == count for each in context.views)
     following = {each.name for each in context.views if each.follows}
@@ -180,12 +180,12 @@
     context.world.play(story)
 
 
-@then("afterwards {told} count it as returned")
+@then("afterwards {told} record a recovery of it")
 def count_returned(context, told):
     assert set(context.returned) == {told == "all"}, context.returned
 
 
-@when("they have settled and the store is away for {seconds:d} seconds")
+@when("they have settled and the store is unavailable for {seconds:d} seconds")
 def store_away(context, seconds):
     async def story(world):
         await trio.sleep(SETTLE_SECONDS)
@@ -203,12 +203,12 @@
     context.world.play(story)
 
 
-@then("the store was asked at most {most:d} times meanwhile")
+@then("the store was read at most {most:d} times during the outage")
 def asked_meanwhile(context, most):
     assert 0 < context.calls <= most, (context.calls, context.after)
 
 
-@then("everybody knows of its return within {seconds:g} seconds")
+@then("all processes learn of its recovery within {seconds:g} seconds")
 def return_known(context, seconds):
     assert context.after is not None and context.after <= seconds, context.after
     assert context.told
@@ -220,7 +220,7 @@
     context.delay = seconds
 
 
-@then("whoever takes a moment for known has every change before it")
+@then("each process has every change before the time that it is current as of")
 def moments_are_true(context):
     changed_at = {}
     seen = []
@@ -249,8 +249,8 @@
 
 
 @then(
-    "{count:d} random series of updates, readings and repeats leave copies that hold what the "
-    "store held"
+    "{count:d} random series of updates, snapshots and duplicates leave replicas that equal the "
+    "store"
 )
 def copies_agree(context, count):
     for seed in range(count):
--- a/features/steps/peer_steps.py
+++ b/features/steps/peer_steps.py
@@ -40,7 +40,7 @@
     world.play(story)
 
 
-@then("each process knows all of its domain, and each domain has the same 2 that follow")
+@then("each process knows all members of its domain and agrees on its 2 followers")
 def knows_domain(context):
     for process, known in context.known:
         there = {each.name for each in context.world.processes if each.domain == process.domain}
@@ -104,7 +104,7 @@
     return {name for name in process.live_names() if name[0] != process.domain}
 
 
-@when("they have found each other and {event}")
+@when("they have discovered each other and {event}")
 def event_happens(context, event):
     async def story(world):
         await trio.sleep(SETTLE_SECONDS)
@@ -127,7 +127,7 @@
     assert context.after is not None and context.after <= seconds, context.after
 
 
-@when("one of them knows all others")
+@when("one of them knows all other members")
 def knows_all(context):
     clock = lambda: 0.0  # noqa: E731
     names = [f"front-some-hall-{each}" for each in range(400)]
@@ -147,7 +147,7 @@
 
 
 @then(
-    "over {keys:d} keys a node of weight {heavy:d} among {light:d} of weight 1 comes first "
+    "over {keys:d} keys a node of weight {heavy:d} among {light:d} of weight 1 ranks first "
     "{low:d} to {high:d} times in 100"
 )
 def weighted(context, keys, heavy, light, low, high):
