--- a/features/connection_world.py
+++ b/features/connection_world.py
@@ -1,4 +1,4 @@
-"""What steps share: limits, a virtual clock, reading to the end, reproducible properties."""
+"""Helpers of the steps: limits, a virtual clock, reading to the end, reproducible properties."""
 
 import trio
 from hypothesis import HealthCheck, Phase, settings
@@ -10,14 +10,14 @@
 
 
 def virtually(work):
-    """Run an async function on a virtual clock, with the same order of tasks on every run."""
+    """Run an async function on a virtual clock, with the same task order on every run."""
     trio._core._run._ALLOW_DETERMINISTIC_SCHEDULING = True
     trio._core._run._r.seed(0)
     return trio.run(work, clock=MockClock(autojump_threshold=0))
 
 
 async def read_until_end(stream):
-    """Return all that comes on a connection until the other side ends it."""
+    """Return all bytes received on a connection until the peer closes it."""
     data = b""
     while part := await stream.receive_some(65536):
         data += part
@@ -25,7 +25,7 @@
 
 
 def reproducible(count):
-    """Return how a property is tried: so many cases, the same ones each time."""
+    """Return settings that check a property with `count` cases, the same ones on every run."""
     return settings(
         max_examples=count,
         derandomize=True,
--- a/features/http1.feature
+++ b/features/http1.feature
@@ -1,7 +1,7 @@
-Feature: Connections of HTTP/1.1, each side by itself
+Feature: HTTP/1.1 connections, each side on its own
 
   Scenario Outline: The server is sent <what>
-    When a sender writes <bytes>
+    When a client writes <bytes>
     Then it reads <answer>
 
     Examples:
@@ -16,11 +16,11 @@
       | a header that is too large  | GET /a HTTP/1.1\r\nHost: h\r\nX: {3000}\r\n\r\n                                             | 431             |
       | a connection to be closed   | GET /a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\nGET /b HTTP/1.1\r\nHost: h\r\n\r\n    | 200 /a          |
 
-  Scenario: A connection at rest is closed after the idle time, and at once when the server drains
-    Then a resting connection is closed after 5 seconds, and at once when it is drained
+  Scenario: An idle connection is closed after the idle timeout, and at once when the server drains
+    Then an idle connection is closed after 5 seconds, and at once when the server drains
 
-  Scenario: An answer that its handler leaves unfinished is cut off, not ended
-    Then a stream whose handler stops in the middle ends without its last chunk
+  Scenario: A response that its handler leaves incomplete is cut off, not ended properly
+    Then a stream whose handler returns early ends without its last chunk
 
   Scenario Outline: An upstream answers with <what>
     Given an upstream that writes <bytes>
@@ -38,14 +38,14 @@
       | bytes that are no answer | 12345 what\r\n\r\n                                                            | malformed  | closed |
       | a time for idling        | HTTP/1.1 200 OK\r\nContent-Length: 0\r\nKeep-Alive: timeout=0\r\n\r\n          | 200        | closed |
 
-  Scenario: The log never waits for its reader, and says what it left out
-    Then 1000 decisions at once write at most 400 lines, and the next tells what is left out
-    And with a reader that stands still no call waits, and whole lines follow once it reads
+  Scenario: The log never blocks on its reader, and reports what it dropped
+    Then 1000 simultaneous decisions write at most 400 lines, and the next entry reports what was dropped
+    And with a stalled reader no call blocks, and complete lines follow once it reads
 
   Scenario: Metrics are served as text
-    Then counters and durations are found in the text
+    Then the text contains the counters and durations
 
-  Scenario Outline: The store's client meets <what>
+  Scenario Outline: The store client handles <what>
     Given a store that answers <status> with <body>
     Then a <call> gives <result>
 
--- a/features/mutants_peers.py
+++ b/features/mutants_peers.py
@@ -1,4 +1,4 @@
-"""Mutants of what processes know together, and of decisions on paths at the worst load."""
+"""Mutants of the state that processes share, and of path choices under the highest load."""
 
 import trio
 
@@ -22,21 +22,21 @@
 
 
 def sources_behind_are_kept():
-    kept = SharedFeed._reason_to_leave
+    original = SharedFeed._reason_to_leave
 
     def reason(self):
-        found = kept(self)
+        found = original(self)
         return None if found is RelayEnd.STALE else found
 
     SharedFeed._reason_to_leave = reason
 
 
 def frames_count_from_arrival():
-    kept = SharedState.merge
+    original = SharedState.merge
 
     def merge(self, frame, origin):
         newest = max((seconds for _, seconds in frame.as_of.values()), default=0.0)
-        kept(self, frame, trio.current_time() - newest)
+        original(self, frame, trio.current_time() - newest)
 
     SharedState.merge = merge
 
@@ -82,21 +82,21 @@
 
 
 def witnesses_hurry_for_good():
-    kept = Healer._note_planned
+    original = Healer._note_planned
 
     def note_planned(self, group):
         witnessed = set(self._witnessed)
-        kept(self, group)
+        original(self, group)
         self._witnessed = witnessed
 
     Healer._note_planned = note_planned
 
 
 def allowance_never_grows():
-    kept = RetryAllowance.__init__
+    original = RetryAllowance.__init__
 
     def begin(self, *args):
-        kept(self, *args)
+        original(self, *args)
         self._starting_until = float("-inf")
 
     RetryAllowance.__init__ = begin
--- a/features/peer_world.py
+++ b/features/peer_world.py
@@ -1,4 +1,4 @@
-"""Processes of one site that know together, in memory, on a virtual clock."""
+"""Peers of one site, with their store and network in memory, on a virtual clock."""
 
 from collections import Counter
 from random import Random
@@ -20,24 +20,24 @@
 trio._core._run._ALLOW_DETERMINISTIC_SCHEDULING = True
 
 TABLES = ("op", "servers")
-CONTACT_SECONDS = 1.0
-# With more processes than this, pauses are longer in proportion.
-SMALL_SITE = 10
-# Until processes know each other and who follows the store.
+CONTACT_WAIT_SECONDS = 1.0
+# With more processes than this, pauses grow in proportion to their number.
+SMALL_SITE_PROCESSES = 10
+# Time for processes to discover each other and agree on the followers of the store.
 SETTLE_SECONDS = 10.0
 
 
 class CutStore:
-    """One process's way to the store: counted, and cut on demand."""
+    """One process's access to the store: counts the reads, and can be cut off."""
 
     def __init__(self, world):
         self.world = world
-        self.cut = False
+        self.is_cut_off = False
 
     async def _ask(self, call, *args):
         self.world.calls.append(trio.current_time())
         await trio.sleep(0.004)
-        if self.cut:
+        if self.is_cut_off:
             return Failure(TableFailure.UNAVAILABLE)
         return await getattr(self.world.store, call)(*args)
 
@@ -49,7 +49,7 @@
 
 
 class PeerProcess:
-    """One process: its peers, and a follower for each table."""
+    """One process: its peer side, and a `Follower` for each table."""
 
     def __init__(self, world, name, domain, start=1):
         self.world = world
@@ -57,7 +57,7 @@
         self.address = f"{name}:1"
         self.store = CutStore(world)
         self.rows = {}
-        self.returned = []
+        self.recoveries = []
         self.counts = Counter()
         self.alive = True
         random = Random(f"{name} {start}")
@@ -65,14 +65,14 @@
         own = Member(name, start, self.address, domain)
         ports = PeerPorts(own, world.medium.open(self.address), lambda: world.seeds)
         self.peers = Peers(
-            ports, self.store, TABLES, pool, lambda: CONTACT_SECONDS, self.returned.append,
+            ports, self.store, TABLES, pool, lambda: CONTACT_WAIT_SECONDS, self.recoveries.append,
             random, lambda *_, **__: None, count=lambda name: self.counts.update([name]),
         )  # fmt: skip
         self.followers = [
             Follower(
-                self.peers.feed, table, self.take_all, self.take, random,
-                wait=lambda: CONTACT_SECONDS,
-                process_factor=lambda: max(1.0, len(world.processes) / SMALL_SITE),
+                self.peers.feed, table, self.on_all_rows, self.on_change, random,
+                wait=lambda: CONTACT_WAIT_SECONDS,
+                process_factor=lambda: max(1.0, len(world.processes) / SMALL_SITE_PROCESSES),
                 gathered=lambda: not self.peers.feed.follows,
                 paced=lambda: self.peers.feed.paces,
             )
@@ -83,13 +83,13 @@
         transport = await self.world.network.dial(address)
         if self.world.frame_delay:
             return SlowTransport(transport, self.world.frame_delay)
-        return SpoiltTransport(transport, self.world.spoilt, address)
+        return CorruptedTransport(transport, self.world.corrupted, address)
 
-    def take_all(self, rows):
+    def on_all_rows(self, rows):
         for row in rows:
             self.rows[row.key.partition("/")[2]] = row.value
 
-    def take(self, key, value, version):
+    def on_change(self, key, value, version):
         self.rows[key] = value
 
     @property
@@ -111,7 +111,7 @@
         self.world.network.kill(self.address)
         self.world.medium.open(self.address)
 
-    def fall_silent(self):
+    def become_silent(self):
         self.alive = False
         self.scope.cancel()
         self.world.network.darken(self.address)
@@ -122,7 +122,7 @@
 
 
 class SlowTransport:
-    """A connection whose bytes come late."""
+    """A connection whose received bytes are delayed."""
 
     def __init__(self, transport, seconds):
         self.transport = transport
@@ -131,46 +131,50 @@
         self.readable = transport.readable
         self.close = transport.close
 
-    async def receive_some(self, most):
-        data = await self.transport.receive_some(most)
+    async def receive_some(self, max_bytes):
+        data = await self.transport.receive_some(max_bytes)
         await trio.sleep(self.seconds)
         return data
 
 
-class SpoiltTransport:
-    """A connection on which other bytes come in place of what an address sends, if told so."""
+class CorruptedTransport:
+    """A connection on which the bytes sent by some addresses are replaced."""
 
-    def __init__(self, transport, spoilt, address):
+    def __init__(self, transport, corrupted, address):
         self.transport = transport
-        self.spoilt = spoilt
+        self.corrupted = corrupted
         self.address = address
         self.send_all = transport.send_all
         self.readable = transport.readable
         self.close = transport.close
 
-    async def receive_some(self, most):
-        data = await self.transport.receive_some(most)
-        return self.spoilt.get(self.address, data)
+    async def receive_some(self, max_bytes):
+        data = await self.transport.receive_some(max_bytes)
+        return self.corrupted.get(self.address, data)
 
 
 class PeerWorld:
-    """The processes, the store and what lies between them."""
+    """The processes, the store and the network between them."""
 
-    def __init__(self, count, domains, seeds=3, lost=0.0):
+    def __init__(self, count, domains, seeds=3, loss_share=0.0):
         self.random = Random(7)
-        self.cut_apart = False
+        self.is_partitioned = False
         self.medium = MemoryMedium(self.is_lost)
-        self.lost = lost
+        self.loss_share = loss_share
         self.seeds = ()
         self.calls = []
         self.frame_delay = 0.0
-        # What comes in place of all that an address sends.
-        self.spoilt = {}
-        self.names = [(f"{at}-{each}", at) for at in "abcdefgh"[:domains] for each in range(count)]
+        # The bytes received in place of everything that an address sends.
+        self.corrupted = {}
+        self.names = [
+            (f"{domain}-{each}", domain) for domain in "abcdefgh"[:domains] for each in range(count)
+        ]
         self.seed_count = seeds
 
     def is_lost(self, source, target):
-        return (self.cut_apart and source[0] != target[0]) or self.random.random() < self.lost
+        return (
+            self.is_partitioned and source[0] != target[0]
+        ) or self.random.random() < self.loss_share
 
     def play(self, story, seconds=120.0):
         async def main():
@@ -195,14 +199,14 @@
         trio.run(main, clock=self.clock)
 
     @property
-    def living(self):
+    def live_processes(self):
         return [each for each in self.processes if each.alive]
 
     def following(self):
-        return [each for each in self.living if each.peers.feed.follows]
+        return [each for each in self.live_processes if each.peers.feed.follows]
 
     async def until(self, condition, seconds):
-        """Wait for a condition; return after how long it held, None where it didn't in time."""
+        """Wait for a condition; return how long that took, None if it timed out."""
         started = trio.current_time()
         while trio.current_time() < started + seconds:
             if condition():
--- a/features/steps/foreign_frame_steps.py
+++ b/features/steps/foreign_frame_steps.py
@@ -1,13 +1,14 @@
-"""Steps about bytes that are no frames, digests or plans.
+"""Steps about malformed frames, digests, reports and plans.
 
-Whoever speaks to a process may say anything. A frame with nested lists behind its last field, the
-same in a question or a digest, ended the work that read it:
+A peer may send any bytes. These failures are guarded against:
 
-    RecursionError: maximum recursion depth exceeded while deserializing an object
+- Nested lists after the last field of a frame, a request or a digest stopped the task that read it:
 
-A moment without end made a copy of the configuration count as fresh for ever, a digest whose
-address had no port ended the exchange with ValueError, and who sent such frames was asked again
-three seconds later without a word of it in the counts.
+      RecursionError: maximum recursion depth exceeded while deserializing an object
+
+- An infinite time made a replica of the configuration count as fresh forever.
+- A digest whose address had no port stopped the gossip with ValueError.
+- A source of malformed frames was used again after three seconds, and no counter showed it.
 """
 
 import zlib
@@ -55,9 +56,9 @@
 
 MIB = 1024 * 1024
 TABLES = ("op", "servers")
-GOOD_UPDATE = TableUpdate("servers", None, 5, (("a", b"row a", 4), ("b", b"row b", 5)))
-GOOD_FRAME = Frame((GOOD_UPDATE,), {"servers": (5, 0.5)}, None, (LoadRow("a", 1, 2, 0.5, 0.2),))
-# Packed by hand: five fields, then a sixth that no frame has.
+VALID_UPDATE = TableUpdate("servers", None, 5, (("a", b"row a", 4), ("b", b"row b", 5)))
+VALID_FRAME = Frame((VALID_UPDATE,), {"servers": (5, 0.5)}, None, (LoadRow("a", 1, 2, 0.5, 0.2),))
+# Encoded by hand: five fields, then a sixth that frames do not have.
 NESTED_TAIL = b"\x96\x90\x80\xc0\x90\xc2" + b"\x91" * DEEP + b"\xc0"
 
 
@@ -87,10 +88,10 @@
     return compressed(b"\x92\x91\x94\xa7servers\xc0\x01" + rows + b"\x80")
 
 
-BAD_FRAMES = {
+MALFORMED_FRAMES = {
     "a frame of no bytes": b"\x00\x00\x00\x00",
     "a frame of 4 GiB": b"\xff\xff\xff\xff\x00",
-    "a frame of an unknown kind": framed(encode_frame(GOOD_FRAME)[5:], b"\x02"),
+    "a frame of an unknown kind": framed(encode_frame(VALID_FRAME)[5:], b"\x02"),
     "bytes that aren't packed": framed(b"\xc1\xc1\xc1"),
     "nested lists": framed(b"\x91" * DEEP),
     "nested lists behind a good frame": framed(NESTED_TAIL),
@@ -109,48 +110,50 @@
 
 
 @then("{what} of a peer are no frame")
-def no_frame(context, what):
+def frame_is_rejected(context, what):
     reader = FrameReader()
-    got = []
+    received = []
     try:
-        got += reader.feed(encode_frame(GOOD_FRAME))
-        got += reader.feed(BAD_FRAMES[what])
+        received += reader.feed(encode_frame(VALID_FRAME))
+        received += reader.feed(MALFORMED_FRAMES[what])
     except MalformedFrameError as error:
         assert len(str(error)) <= 200, str(error)
-        assert got == [GOOD_FRAME]
+        assert received == [VALID_FRAME]
         return
-    raise AssertionError(got)
+    raise AssertionError(received)
 
 
 @when("they have settled and one that follows sends malformed frames to those that ask it")
 def sends_malformed(context):
-    bad = BAD_FRAMES["nested lists behind a good frame"]
+    malformed = MALFORMED_FRAMES["nested lists behind a good frame"]
 
     async def story(world):
         await trio.sleep(SETTLE_SECONDS)
-        sources = [each.peers.feed.source for each in world.living if each.peers.feed.source]
-        liar = max(sources, key=sources.count)
-        hearers = [each for each in world.living if each.peers.feed.source == liar]
-        address = next(each.address for each in world.living if each.name == liar)
-        world.spoilt[address] = b"%x\r\n%s\r\n" % (len(bad), bad)
+        sources = [
+            each.peers.feed.source for each in world.live_processes if each.peers.feed.source
+        ]
+        source = max(sources, key=sources.count)
+        subscribers = [each for each in world.live_processes if each.peers.feed.source == source]
+        address = next(each.address for each in world.live_processes if each.name == source)
+        world.corrupted[address] = b"%x\r\n%s\r\n" % (len(malformed), malformed)
         await trio.sleep(0.5)
-        context.counts = [each.counts["malformed.frame"] for each in hearers]
+        context.counts = [each.counts["malformed.frame"] for each in subscribers]
         world.store.put("servers", "after", {"n": 1})
-        context.after = await world.until(
-            lambda: all("after" in each.rows for each in world.living), 20.0
+        context.elapsed = await world.until(
+            lambda: all("after" in each.rows for each in world.live_processes), 20.0
         )
 
     context.world.play(story)
 
 
 @then("its hearers count that and know of a change that follows within {seconds:g} seconds")
-def hearers_know(context, seconds):
+def subscribers_recover(context, seconds):
     assert context.counts and set(context.counts) == {1}, context.counts
-    assert context.after is not None and context.after <= seconds, context.after
+    assert context.elapsed is not None and context.elapsed <= seconds, context.elapsed
 
 
 @then("a question with nested lists behind its last field is none")
-def no_question(context):
+def request_is_rejected(context):
     assert decode_request(b"\x92\xa1a\x80") == ChangesRequest("a", {})
     assert decode_request(b"\x93\xa1a\x80" + b"\x91" * DEEP + b"\xc0") is None
 
@@ -158,66 +161,66 @@
 @then("what a process tells of loads and moments that it holds is always a frame")
 def always_a_frame(context):
     async def work():
-        knowledge = SharedState(TABLES, lambda moment: None)
-        # Known from a peer that said nothing of moments.
-        knowledge.merge(Frame((GOOD_UPDATE,), {}), trio.current_time())
+        shared_state = SharedState(TABLES, lambda moment: None)
+        # Received from a peer that sent no times.
+        shared_state.merge(Frame((VALID_UPDATE,), {}), trio.current_time())
         for running, share in ((-1, 0.5), (10**9, 0.5), (1, float("nan")), (1, -0.5), (2, 0.5)):
-            knowledge.loads.note(LoadRow(f"{running} {share}", running, 0, share, 0.0))
-        return knowledge.next_frame(Subscriber(trio.current_time(), {}))
+            shared_state.loads.note(LoadRow(f"{running} {share}", running, 0, share, 0.0))
+        return shared_state.next_frame(Subscriber(trio.current_time(), {}))
 
     frame = virtually(work)
-    (got,) = FrameReader().feed(encode_frame(frame))
-    assert got == frame and [each.instance for each in got.loads] == ["2 0.5"], got
+    (received,) = FrameReader().feed(encode_frame(frame))
+    assert received == frame and [each.instance for each in received.loads] == ["2 0.5"], received
 
 
 @then("a frame that tells of tomorrow makes nothing known for later than now")
 def nothing_later(context):
     @dataclass
-    class Heard:
+    class Recovery:
         returned: float = 0.0
 
     async def work():
         await trio.sleep(100.0)
-        heard = Heard()
-        knowledge = SharedState(TABLES, lambda at: setattr(heard, "returned", at))
+        noted = Recovery()
+        shared_state = SharedState(TABLES, lambda at: setattr(noted, "returned", at))
         late = 86_400.0
-        frame = Frame((GOOD_UPDATE,), {"servers": (5, late)}, late,
+        frame = Frame((VALID_UPDATE,), {"servers": (5, late)}, late,
                       (LoadRow("a", 1, 2, 0.5, late),))  # fmt: skip
-        knowledge.merge(frame, trio.current_time() - 5.0)
+        shared_state.merge(frame, trio.current_time() - 5.0)
         now = trio.current_time()
-        load = knowledge.loads.known("a")
-        return knowledge.latest_as_of <= now, heard.returned <= now, load.at <= now
+        load = shared_state.loads.known("a")
+        return shared_state.latest_as_of <= now, noted.returned <= now, load.at <= now
 
     assert virtually(work) == (True, True, True)
 
 
-def bad_digests():
+def malformed_digests():
     own = ("x", 1, "a-0:1", "a", 1.0, 1, False)
-    packs = msgspec.msgpack.encode
-    yield from (b"", b"\xc1", b"\x91" * 10_000, packs((own,))[:-3], packs(3))
-    yield b"\x94" + packs(own) + b"\x90\xc2" + b"\x91" * 50_000 + b"\xc0"
+    encode = msgspec.msgpack.encode
+    yield from (b"", b"\xc1", b"\x91" * 10_000, encode((own,))[:-3], encode(3))
+    yield b"\x94" + encode(own) + b"\x90\xc2" + b"\x91" * 50_000 + b"\xc0"
     for address in ("", "nowhere", "a:", "a:b", "a:99999", "a:-1", "\x00:1", "é" * 70 + ":1"):
-        yield packs((("x" + address, 1, address, "a", 1.0, 1, False), [], True))
+        yield encode((("x" + address, 1, address, "a", 1.0, 1, False), [], True))
     for weight in (float("nan"), float("inf"), -1.0, 0.0):
-        yield packs((("w", 1, "w:1", "a", weight, 1, False), [], True))
-    yield packs((("b", 2**63, "b:1", "a", 1.0, 2**63, False), [], True))
+        yield encode((("w", 1, "w:1", "a", weight, 1, False), [], True))
+    yield encode((("b", 2**63, "b:1", "a", 1.0, 2**63, False), [], True))
     many = [(f"m{number}", 1, "m:1", "a", 1.0, 1, False) for number in range(2500)]
     for part in range(4):
         renamed = [(f"{part}{each[0]}", *each[1:]) for each in many]
-        yield packs((own, renamed, False))
+        yield encode((own, renamed, False))
 
 
 @when("foreign datagrams come to each of them")
 def foreign_datagrams(context):
     async def story(world):
         await trio.sleep(SETTLE_SECONDS)
-        for each in world.living:
-            for data in bad_digests():
+        for each in world.live_processes:
+            for data in malformed_digests():
                 world.medium.carry("a:9", each.address, data)
                 await trio.sleep(0.01)
         await trio.sleep(SETTLE_SECONDS)
-        context.known = [each.live_names() for each in world.living]
-        context.names = {each.name for each in world.living}
+        context.known = [each.live_names() for each in world.live_processes]
+        context.names = {each.name for each in world.live_processes}
 
     context.world.play(story)
 
@@ -229,7 +232,7 @@
         assert len(known) <= most + 1, len(known)
 
 
-GOOD_REPORT = (
+VALID_REPORT = (
     b'{"sequence": 7, "running": 1, "queued": 0, "kvUsed": 1, "kvTotal": 2, "pace": 1.5,'
     b' "stalled": []}'
 )
@@ -237,14 +240,14 @@
 
 def report_with(what):
     if what == "with nested lists beside":
-        return GOOD_REPORT[:-1] + b', "note": ' + b"[" * DEEP + b"]" * DEEP + b"}"
+        return VALID_REPORT[:-1] + b', "note": ' + b"[" * DEEP + b"]" * DEEP + b"}"
     field, _, value = what.removeprefix("with ").partition(" = ")
-    # The last one of a name counts.
-    return GOOD_REPORT[:-1] + f', "{field}": {value}}}'.encode()
+    # The last field of a name takes effect.
+    return VALID_REPORT[:-1] + f', "{field}": {value}}}'.encode()
 
 
-async def answers_to(report):
-    """Return what is made of a report by each question that it answers."""
+async def results_for(report):
+    """Return the result of each query that a report answers."""
 
     async def answer(request, exchange):
         await exchange.whole(200, (), report)
@@ -271,28 +274,28 @@
 
 
 @then("a report {what} is none, and no question about it raises")
-def no_report(context, what):
-    count, stalled, load, pulse = virtually(lambda: answers_to(GOOD_REPORT))
+def report_is_rejected(context, what):
+    count, stalled, load, pulse = virtually(lambda: results_for(VALID_REPORT))
     assert (count, stalled.pace, load.running, pulse) == (7, 1.5, 1, Pulse.ALIVE)
     report = report_with(what.replace("{400 digits}", "9" * 400))
-    # Whoever says anything at all is there.
-    assert virtually(lambda: answers_to(report)) == (None, None, None, Pulse.ALIVE)
+    # An upstream that answers at all is alive.
+    assert virtually(lambda: results_for(report)) == (None, None, None, Pulse.ALIVE)
 
 
 MODEL = ModelSpec("m", 8, 100.0)
-GOOD_PLAN = {"number": 4, "author": "o/1", "model": "m", "assignments": [
+VALID_PLAN = {"number": 4, "author": "o/1", "model": "m", "assignments": [
     {"instance": "a", "first": 0, "end": 4, "reason": "r", "at_once": False}]}  # fmt: skip
 
 
 def plan_of(**fields):
-    return msgspec.json.encode({**GOOD_PLAN, **fields})
+    return msgspec.json.encode({**VALID_PLAN, **fields})
 
 
 def plan_with(**fields):
-    return plan_of(assignments=[{**GOOD_PLAN["assignments"][0], **fields}])
+    return plan_of(assignments=[{**VALID_PLAN["assignments"][0], **fields}])
 
 
-BAD_PLANS = {
+MALFORMED_PLANS = {
     "nothing": b"",
     "bytes that are no text": b"\xff\x00",
     "nested lists": plan_of()[:-1] + b', "note": ' + b"[" * DEEP + b"]" * DEEP + b"}",
@@ -302,12 +305,12 @@
     "layers that are negative": plan_with(first=-3),
     "an end before its start": plan_with(first=3, end=1),
     "layers without bound": plan_with(end=10**9),
-    "two orders to one upstream": plan_of(assignments=2 * GOOD_PLAN["assignments"]),
+    "two orders to one upstream": plan_of(assignments=2 * VALID_PLAN["assignments"]),
 }
 
 
 def book_with(value):
-    """Return a table that holds a plan row, and a book that read it there."""
+    """Store a plan row; return what a book makes of it, the result of a claim, and the row."""
 
     async def work():
         table = MemoryTable()
@@ -315,35 +318,35 @@
         key = f"{PLAN_TABLE}/x"
         await table.transact([Write(key, value)])
         row = table.rows[key]
-        heard = book.note(row)
+        noted = book.note(row)
         won = await book.claim("x", "m", (Assignment("a", 0, 4, "r"),))
-        return heard, won, row
+        return noted, won, row
 
     return virtually(work)
 
 
 @then("a plan row that holds {what} is no plan, and the next plan can be written")
-def no_plan(context, what):
+def plan_is_rejected(context, what):
     assert isinstance(book_with(plan_of())[0], PlanRecord)
-    heard, won, _ = book_with(BAD_PLANS[what])
-    assert heard is None, heard
+    noted, won, _ = book_with(MALFORMED_PLANS[what])
+    assert noted is None, noted
     assert isinstance(won, PlanWon) and won.record.number == 1, won
 
 
-def mutated(good):
-    """Return a strategy of bytes that are good ones with some replaced, cut, doubled or foreign."""
-    places = strategies.integers(0, len(good) - 1)
+def mutated(valid):
+    """Return a strategy for valid bytes with some replaced, cut off or appended, or random ones."""
+    positions = strategies.integers(0, len(valid) - 1)
 
     def change(pieces, cut, tail):
-        data = bytearray(good)
-        for place, byte in pieces:
-            data[place] = byte
+        data = bytearray(valid)
+        for position, byte in pieces:
+            data[position] = byte
         return bytes(data[: len(data) - cut]) + tail
 
     changed = strategies.builds(
         change,
-        strategies.lists(strategies.tuples(places, strategies.integers(0, 255)), max_size=4),
-        strategies.integers(0, len(good)) | strategies.just(0),
+        strategies.lists(strategies.tuples(positions, strategies.integers(0, 255)), max_size=4),
+        strategies.integers(0, len(valid)) | strategies.just(0),
         strategies.binary(max_size=8),
     )
     return changed | strategies.binary(max_size=60)
@@ -351,35 +354,35 @@
 
 @then("{count:d} generated sets of frames raise nothing, lose no good row and use no bad one")
 def any_frames(context, count):
-    body = encode_frame(GOOD_FRAME)[5:]
+    body = encode_frame(VALID_FRAME)[5:]
 
     async def check_one(data):
         await trio.sleep(100.0)
-        knowledge = SharedState(TABLES, lambda moment: None)
+        shared_state = SharedState(TABLES, lambda moment: None)
         reader = FrameReader()
         try:
-            for frame in reader.feed(encode_frame(GOOD_FRAME)):
-                knowledge.merge(frame, trio.current_time() - 1.0)
+            for frame in reader.feed(encode_frame(VALID_FRAME)):
+                shared_state.merge(frame, trio.current_time() - 1.0)
             for frame in reader.feed(framed(data)):
-                knowledge.merge(frame, trio.current_time() - 1.0)
+                shared_state.merge(frame, trio.current_time() - 1.0)
         except MalformedFrameError:
-            # Up to here everything good was taken in.
-            assert {each.key for each in knowledge.replica("servers").rows} >= {"servers/a"}
-        assert knowledge.latest_as_of <= trio.current_time()
-        assert all(each.at <= trio.current_time() for each in knowledge.loads.all())
-
-    async def ask_one(data):
-        knowledge = SharedState(TABLES, lambda moment: None)
-        knowledge.merge(GOOD_FRAME, trio.current_time())
-        question = decode_request(data)
-        if question is not None:
-            encode_frame(knowledge.next_frame(Subscriber(0.0, dict(question.versions))))
+            # Every valid frame before the malformed one was merged.
+            assert {each.key for each in shared_state.replica("servers").rows} >= {"servers/a"}
+        assert shared_state.latest_as_of <= trio.current_time()
+        assert all(each.at <= trio.current_time() for each in shared_state.loads.all())
+
+    async def request_one(data):
+        shared_state = SharedState(TABLES, lambda moment: None)
+        shared_state.merge(VALID_FRAME, trio.current_time())
+        request = decode_request(data)
+        if request is not None:
+            encode_frame(shared_state.next_frame(Subscriber(0.0, dict(request.versions))))
 
     @reproducible(count)
     @hypothesis_given(mutated(body), mutated(encode_request(ChangesRequest("a", {"servers": 4}))))
-    def check(data, question):
+    def check(data, request):
         virtually(lambda: check_one(data))
-        virtually(lambda: ask_one(question))
+        virtually(lambda: request_one(request))
 
     check()
 
@@ -387,10 +390,10 @@
 @then("{count:d} generated sets of digests raise nothing, lose no good row and use no bad one")
 def any_digests(context, count):
     sender = Member("b", 3, "127.0.0.1:70", "x", 2.0, 9)
-    good = encode_digest(Digest(sender, (Member("c", 1, "127.0.0.1:71", "x"),), True))
+    valid = encode_digest(Digest(sender, (Member("c", 1, "127.0.0.1:71", "x"),), True))
 
     @reproducible(count)
-    @hypothesis_given(mutated(good))
+    @hypothesis_given(mutated(valid))
     def check(data):
         own = Member("a", 1, "127.0.0.1:69", "x")
         roster = Roster(own, lambda: 5.0)
@@ -407,7 +410,7 @@
 
 @then("{count:d} generated sets of plans raise nothing, lose no good row and use no bad one")
 def any_plans(context, count):
-    async def hear_one(value):
+    async def note_one(value):
         upstreams = UpstreamTable(trio.current_time)
         upstreams.put(Upstream("a", "llm", "127.0.0.1:1", "x", first=0, end=4))
         book = PlanBook(MemoryTable(), "n/1")
@@ -420,6 +423,6 @@
     @reproducible(count)
     @hypothesis_given(mutated(plan_of()))
     def check(value):
-        virtually(lambda: hear_one(value))
+        virtually(lambda: note_one(value))
 
     check()
--- a/features/steps/http1_steps.py
+++ b/features/steps/http1_steps.py
@@ -1,4 +1,4 @@
-"""Steps about connections, the log, the metrics and the store's client."""
+"""Steps about connections, the decision log, the metrics and the store client."""
 
 import json
 import os
@@ -20,7 +20,7 @@
 
 
 def raw(text):
-    """Return the bytes of a table's cell; {N} stands for N letters."""
+    """Return the bytes of a table cell; {N} stands for N characters."""
     data = text.replace("\\r", "\r").replace("\\n", "\n")
     for size in (2000, 3000):
         data = data.replace(f"{{{size}}}", "x" * size)
@@ -31,64 +31,73 @@
     await exchange.whole(200, (), request.target + b" " + request.body)
 
 
-@when("a sender writes {text}")
+@when("a client writes {text}")
 def sender_writes(context, text):
     async def work():
-        near, far = trio.testing.memory_stream_pair()
+        client_stream, server_stream = trio.testing.memory_stream_pair()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(serve_connection, far, echo, lambda: BOUNDS, lambda: False)
-            await near.send_all(raw(text))
-            context.read = await read_until_end(near)
+            nursery.start_soon(serve_connection, server_stream, echo, lambda: BOUNDS, lambda: False)
+            await client_stream.send_all(raw(text))
+            context.read = await read_until_end(client_stream)
 
     virtually(work)
 
 
 @then("it reads {answers}")
 def reads(context, answers):
-    got = []
+    result = []
     for part in context.read.split(b"HTTP/1.1 ")[1:]:
         head, _, body = part.partition(b"\r\n\r\n")
-        got.append(f"{head[:3].decode()} {body.decode()}".strip())
-    assert ", ".join(got) == answers, context.read
+        result.append(f"{head[:3].decode()} {body.decode()}".strip())
+    assert ", ".join(result) == answers, context.read
 
 
-@then("a resting connection is closed after {seconds:g} seconds, and at once when it is drained")
-def rests(context, seconds):
+@then("an idle connection is closed after {seconds:g} seconds, and at once when the server drains")
+def idle_connection_closes(context, seconds):
     async def closed_after(drain):
-        near, far = trio.testing.memory_stream_pair()
-        resting = RestingConnections()
+        client_stream, server_stream = trio.testing.memory_stream_pair()
+        idle_connections = RestingConnections()
         started = trio.current_time()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(serve_connection, far, echo, lambda: BOUNDS, lambda: False, resting)
+            nursery.start_soon(
+                serve_connection,
+                server_stream,
+                echo,
+                lambda: BOUNDS,
+                lambda: False,
+                idle_connections,
+            )
             if drain:
                 await trio.sleep(1)
-                resting.close()
-            await read_until_end(near)
+                idle_connections.close()
+            await read_until_end(client_stream)
         return trio.current_time() - started
 
     assert abs(virtually(lambda: closed_after(False)) - seconds) < 0.01
     assert abs(virtually(lambda: closed_after(True)) - 1.0) < 0.01
 
 
-@then("a stream whose handler stops in the middle ends without its last chunk")
-def unfinished(context):
-    async def stops(request, exchange):
+@then("a stream whose handler returns early ends without its last chunk")
+def response_is_cut_off(context):
+    async def stop_early(request, exchange):
         await exchange.start(200, ())
         await exchange.send(b"half")
 
     async def work():
-        near, far = trio.testing.memory_stream_pair()
+        client_stream, server_stream = trio.testing.memory_stream_pair()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(serve_connection, far, stops, lambda: BOUNDS, lambda: False)
-            await near.send_all(b"GET /a HTTP/1.1\r\nHost: h\r\n\r\n")
-            return await read_until_end(near)
+            nursery.start_soon(
+                serve_connection, server_stream, stop_early, lambda: BOUNDS, lambda: False
+            )
+            await client_stream.send_all(b"GET /a HTTP/1.1\r\nHost: h\r\n\r\n")
+            return await read_until_end(client_stream)
 
     data = virtually(work)
     assert data.endswith(b"4\r\nhalf\r\n") and not data.endswith(b"0\r\n\r\n"), data
 
 
 class ScriptedTransport:
-    """An upstream that writes given bytes once it was asked, then says nothing or ends."""
+    """An upstream that answers with given bytes, then stays silent or closes."""
 
     def __init__(self, data):
         self.data, _, end = data.partition(b"{end}")
@@ -123,22 +132,23 @@
         connection = UpstreamConnection("u:1", context.transport)
         try:
             reply = await connection.call(b"GET", b"/", ((b"host", b"h"),), b"")
-            got = f"{reply.status} {(await reply.whole_body()).decode()}".strip()
+            result = f"{reply.status} {(await reply.whole_body()).decode()}".strip()
         except ConnectionLostError as lost:
             connection.abort()
             return str(lost.kind)
         pool.release(connection)
-        return got
+        return result
 
-    got = virtually(work)
-    assert got == end, got
-    assert context.transport.closed == (kept == "closed"), got
+    result = virtually(work)
+    assert result == end, result
+    assert context.transport.closed == (kept == "closed"), result
 
 
 @then(
-    "{count:d} decisions at once write at most {most:d} lines, and the next tells what is left out"
+    "{count:d} simultaneous decisions write at most {most:d} lines, and the next entry reports "
+    "what was dropped"
 )
-def bounded(context, count, most):
+def log_is_bounded(context, count, most):
     reader, writer = os.pipe()
     now = [0.0]
     log = DecisionLog("n", writer, lambda: now[0])
@@ -171,8 +181,8 @@
     return [json.loads(line) for line in data.splitlines()]
 
 
-@then("with a reader that stands still no call waits, and whole lines follow once it reads")
-def never_waits(context):
+@then("with a stalled reader no call blocks, and complete lines follow once it reads")
+def log_never_blocks(context):
     reader, writer = os.pipe()
     now = [0.0]
     log = DecisionLog("n", writer, lambda: now[0])
@@ -193,13 +203,13 @@
 
 
 def read_lines_partly(reader):
-    """Read what is there; its last line may be cut, and goes on with the next reading."""
+    """Read the available bytes; the last line may be incomplete and continue in the next read."""
     data = os.read(reader, 1 << 20)
-    whole, _, _ = data.rpartition(b"\n")
-    return whole.splitlines()
+    complete, _, _ = data.rpartition(b"\n")
+    return complete.splitlines()
 
 
-@then("counters and durations are found in the text")
+@then("the text contains the counters and durations")
 def metrics_text(context):
     counters = RegistryCounters()
     counters.count("refused.no-route")
@@ -229,19 +239,19 @@
             network.listen("s:1", answer)
             store = Store(ConnectionPool(lambda what: None, network.dial), "s:1")
             if call == "read":
-                got = await store.read(["t/k"])
+                outcome = await store.read(["t/k"])
             elif call == "feed":
-                got = await store.changes("t", 3, 1.0)
+                outcome = await store.changes("t", 3, 1.0)
             else:
-                got = await store.transact([Write("t/k", b"x", 4)])
+                outcome = await store.transact([Write("t/k", b"x", 4)])
             nursery.cancel_scope.cancel()
-        return got
+        return outcome
 
-    assert described(virtually(work)) == result, virtually(work)
+    assert describe(virtually(work)) == result, virtually(work)
 
 
-def described(got):
-    match got:
+def describe(outcome):
+    match outcome:
         case Success((None,)):
             return "nothing"
         case Success((row,)):
@@ -256,4 +266,4 @@
             return "unknown"
         case Success(changes) if not changes.complete:
             return "incomplete"
-    return repr(got)
+    return repr(outcome)
--- a/features/steps/peer_feed_steps.py
+++ b/features/steps/peer_feed_steps.py
@@ -1,4 +1,4 @@
-"""Steps about who asks the store, and what the others hear of it."""
+"""Steps about reads of the store and the relay of its changes between processes."""
 
 from functools import partial
 from random import Random
@@ -14,8 +14,8 @@
 from deckcourse.peers.view import MEMBERS_PATH, decode_view
 
 
-def known_to_all(world, key):
-    return all(key in each.rows for each in world.living)
+def is_known_to_all(world, key):
+    return all(key in each.rows for each in world.live_processes)
 
 
 @when("{changes:d} rows change over {seconds:d} seconds")
@@ -26,7 +26,7 @@
         context.late = 0.0
         for number in range(changes):
             world.store.put("servers", f"r{number}", {"n": number})
-            late = await world.until(partial(known_to_all, world, f"r{number}"), 5.0)
+            late = await world.until(partial(is_known_to_all, world, f"r{number}"), 5.0)
             context.late = max(context.late, 9.0 if late is None else late)
             await trio.sleep(max(0.0, seconds / changes - (late or 0.0)))
         if not changes:
@@ -42,35 +42,35 @@
 
 
 @then("the store was read at most {calls:d} times from the tenth second on")
-def asked_at_most(context, calls):
+def reads_bounded(context, calls):
     assert context.calls <= calls, context.calls
 
 
-def lose(world, event):
-    """Let an event happen to those that follow; return the processes that it may leave behind."""
-    ranked_first = sorted(world.following(), key=lambda each: each.name)
-    first, both = ranked_first[0], ranked_first[:2]
+def apply_event(world, event):
+    """Apply an event to the followers of the store."""
+    followers = sorted(world.following(), key=lambda each: each.name)
+    first, both = followers[0], followers[:2]
     if event.endswith("killed"):
         for each in [first] if event.startswith("the first") else both:
             each.kill()
     elif event.endswith("falls silent"):
-        first.fall_silent()
+        first.become_silent()
     elif event.startswith("all but"):
         for each in world.processes:
-            each.store.cut = each is not first
+            each.store.is_cut_off = each is not first
     else:
         for each in [first] if event.startswith("the first") else both:
-            each.store.cut = True
+            each.store.is_cut_off = True
 
 
 @when("they have settled and {event} the store")
 @when("they have settled and {event} killed")
 @when("they have settled and {event} silent")
-def those_that_follow(context, event):
+def followers_affected(context, event):
     step = context.step_text if hasattr(context, "step_text") else event
-    words = {"the first that follows is": "killed", "both that follow are": "killed"}
-    whole = f"{event} {words[event]}" if event in words else event
-    whole = f"{event} silent" if event.endswith("falls") else whole
+    endings = {"the first that follows is": "killed", "both that follow are": "killed"}
+    event_text = f"{event} {endings[event]}" if event in endings else event
+    event_text = f"{event} silent" if event.endswith("falls") else event_text
     assert step
 
     async def story(world):
@@ -78,52 +78,55 @@
         assert len(world.following()) == FOLLOWERS_PER_DOMAIN, [
             each.name for each in world.following()
         ]
-        lose(world, whole)
+        apply_event(world, event_text)
         await trio.sleep(0.3)
         world.store.put("servers", "after", {"n": 1})
-        context.worst = 0.0
+        context.max_age = 0.0
 
-        def known():
-            ages = [trio.current_time() - each.as_of for each in world.living]
-            context.worst = max(context.worst, *ages)
-            return all("after" in each.rows for each in world.living)
+        def is_known():
+            ages = [trio.current_time() - each.as_of for each in world.live_processes]
+            context.max_age = max(context.max_age, *ages)
+            return all("after" in each.rows for each in world.live_processes)
 
-        context.after = await world.until(known, 20.0)
+        context.elapsed = await world.until(is_known, 20.0)
 
     context.world.play(story)
 
 
 @then("the next change reaches all live processes within {late:g} seconds")
 def change_known(context, late):
-    assert context.after is not None and context.after <= late, context.after
+    assert context.elapsed is not None and context.elapsed <= late, context.elapsed
 
 
 @then("no live process is ever more than {age:g} seconds stale")
-def not_behind(context, age):
-    assert context.worst <= age, context.worst
+def not_stale(context, age):
+    assert context.max_age <= age, context.max_age
 
 
 @when("they have settled and an upstream's load becomes known to a follower")
 def load_known(context):
     async def story(world):
         await trio.sleep(SETTLE_SECONDS)
-        asked = [each.peers.feed.source for each in world.living]
-        teller = max(world.following(), key=lambda each: asked.count(each.name))
-        asked_at = trio.current_time() - 0.1
-        teller.peers.loads.note(LoadRow("late", 1, 0, 0.1, asked_at + 0.05))
-        teller.peers.loads.note(LoadRow("u", 90, 6, 0.4, asked_at))
-        # Those that follow hear of it by their own questions.
-        hearers = [each for each in world.living if each.peers.feed.source == teller.name]
-        assert hearers
-        context.after = await world.until(
+        sources_in_use = [each.peers.feed.source for each in world.live_processes]
+        follower = max(world.following(), key=lambda each: sources_in_use.count(each.name))
+        queried_at = trio.current_time() - 0.1
+        follower.peers.loads.note(LoadRow("late", 1, 0, 0.1, queried_at + 0.05))
+        follower.peers.loads.note(LoadRow("u", 90, 6, 0.4, queried_at))
+        # Other followers query upstreams themselves.
+        subscribers = [
+            each for each in world.live_processes if each.peers.feed.source == follower.name
+        ]
+        assert subscribers
+        context.elapsed = await world.until(
             lambda: all(
-                each.peers.loads.known("u") and each.peers.loads.known("late") for each in hearers
+                each.peers.loads.known("u") and each.peers.loads.known("late")
+                for each in subscribers
             ),
             5.0,
         )
-        rows = [each.peers.loads.known("u") for each in hearers]
-        context.told = all(
-            each.requests == 96 and asked_at - 0.1 < each.at <= asked_at for each in rows
+        rows = [each.peers.loads.known("u") for each in subscribers]
+        context.is_correct = all(
+            each.requests == 96 and queried_at - 0.1 < each.at <= queried_at for each in rows
         )
 
     context.world.play(story)
@@ -131,8 +134,8 @@
 
 @then("all subscribers know it within {late:g} seconds, with its true age")
 def load_in_time(context, late):
-    assert context.after is not None and context.after <= late, context.after
-    assert context.told
+    assert context.elapsed is not None and context.elapsed <= late, context.elapsed
+    assert context.is_correct
 
 
 @when("they have settled and an operator requests the view of each")
@@ -154,8 +157,8 @@
     assert all(len(each.members) == count for each in context.views)
     following = {each.name for each in context.views if each.follows}
     assert len(following) == few, following
-    heard = {each.source for each in context.views if not each.follows}
-    assert heard <= following and sum(each.serving for each in context.views) == count - few
+    sources = {each.source for each in context.views if not each.follows}
+    assert sources <= following and sum(each.serving for each in context.views) == count - few
     assert all(each.seconds_behind < 2.0 for each in context.views)
 
 
@@ -165,28 +168,30 @@
         await trio.sleep(SETTLE_SECONDS)
         everybody = lost == "everybody"
         cut = (
-            world.living if everybody else sorted(world.following(), key=lambda each: each.name)[:1]
+            world.live_processes
+            if everybody
+            else sorted(world.following(), key=lambda each: each.name)[:1]
         )
-        for each in world.living:
-            each.returned.clear()
+        for each in world.live_processes:
+            each.recoveries.clear()
         for each in cut:
-            each.store.cut = True
+            each.store.is_cut_off = True
         await trio.sleep(seconds)
         for each in cut:
-            each.store.cut = False
+            each.store.is_cut_off = False
         await trio.sleep(4.0)
-        context.returned = [bool(each.returned) for each in world.living]
+        context.recoveries = [bool(each.recoveries) for each in world.live_processes]
 
     context.world.play(story)
 
 
-@then("afterwards {told} record a recovery of it")
-def count_returned(context, told):
-    assert set(context.returned) == {told == "all"}, context.returned
+@then("afterwards {who} record a recovery of it")
+def recoveries_recorded(context, who):
+    assert set(context.recoveries) == {who == "all"}, context.recoveries
 
 
 @when("they have settled and the store is unavailable for {seconds:d} seconds")
-def store_away(context, seconds):
+def store_unavailable(context, seconds):
     async def story(world):
         await trio.sleep(SETTLE_SECONDS)
         world.calls.clear()
@@ -195,23 +200,23 @@
         context.calls = len(world.calls)
         world.store.away = False
         world.store.put("servers", "after", {"n": 1})
-        context.after = await world.until(
-            lambda: all("after" in each.rows for each in world.living), 10.0
+        context.elapsed = await world.until(
+            lambda: all("after" in each.rows for each in world.live_processes), 10.0
         )
-        context.told = all(each.returned for each in world.living)
+        context.is_correct = all(each.recoveries for each in world.live_processes)
 
     context.world.play(story)
 
 
 @then("the store was read at most {most:d} times during the outage")
-def asked_meanwhile(context, most):
-    assert 0 < context.calls <= most, (context.calls, context.after)
+def reads_during_outage(context, most):
+    assert 0 < context.calls <= most, (context.calls, context.elapsed)
 
 
 @then("all processes learn of its recovery within {seconds:g} seconds")
-def return_known(context, seconds):
-    assert context.after is not None and context.after <= seconds, context.after
-    assert context.told
+def recovery_known(context, seconds):
+    assert context.elapsed is not None and context.elapsed <= seconds, context.elapsed
+    assert context.is_correct
 
 
 @given("processes whose frames take {seconds:g} seconds to arrive")
@@ -221,14 +226,14 @@
 
 
 @then("each process has every change before the time that it is current as of")
-def moments_are_true(context):
+def times_are_true(context):
     changed_at = {}
     seen = []
 
     def check(world):
-        for each in world.living:
-            lacking = changed_at.keys() - each.rows.keys()
-            for key in lacking:
+        for each in world.live_processes:
+            missing_keys = changed_at.keys() - each.rows.keys()
+            for key in missing_keys:
                 assert each.followers[1].as_of <= changed_at[key], (each.name, key)
             seen.append(not each.peers.feed.follows and trio.current_time() - each.as_of < 4.0)
 
@@ -252,7 +257,7 @@
     "{count:d} random series of updates, snapshots and duplicates leave replicas that equal the "
     "store"
 )
-def copies_agree(context, count):
+def replicas_agree(context, count):
     for seed in range(count):
         random = Random(seed)
         store, history = {}, [{}]
@@ -263,22 +268,22 @@
             else:
                 store[key] = str(random.random()).encode()
             history.append(dict(store))
-        copy, other = TableReplica("t"), TableReplica("t")
+        replica, other = TableReplica("t"), TableReplica("t")
         at = 0
         while at < 20:
             end = min(20, at + random.randint(1, 4))
             after = (
                 None
-                if random.random() < 0.2 or copy.version is None
+                if random.random() < 0.2 or replica.version is None
                 else random.randint(max(0, at - 2), at)
             )
             base = {} if after is None else history[after]
             keys = set(base) | {key for one in history[(after or 0) : end + 1] for key in one}
             rows = tuple((key, history[end].get(key), end) for key in sorted(keys))
             rows = rows if after is not None else tuple(row for row in rows if row[1] is not None)
-            copy.take(TableUpdate("t", after, end, rows))
+            replica.take(TableUpdate("t", after, end, rows))
             at = end
             if random.random() < 0.6:
-                other.take(copy.since(other.version))
+                other.take(replica.since(other.version))
                 held = {row.key[2:]: row.value for row in other.rows}
                 assert held == history[other.version], (seed, held, history[other.version])
--- a/features/steps/peer_steps.py
+++ b/features/steps/peer_steps.py
@@ -1,4 +1,4 @@
-"""Steps about what processes know together."""
+"""Steps about the membership view, digests and the ranking of members."""
 
 import trio
 from behave import given, then, when
@@ -24,12 +24,12 @@
 @when("datagrams are lost {lost:d} times in 100 and {seconds:d} seconds pass")
 def time_passes(context, lost, seconds):
     world = context.world
-    world.lost = lost / 100
+    world.loss_share = lost / 100
 
     async def story(world):
         await trio.sleep(seconds)
         context.known = [(each, each.live_names()) for each in world.processes]
-        context.firsts = {
+        context.follower_sets = {
             (
                 each.domain,
                 tuple(one.name for one in followers(each.peers.roster.live(), each.domain)),
@@ -41,66 +41,66 @@
 
 
 @then("each process knows all members of its domain and agrees on its 2 followers")
-def knows_domain(context):
+def members_known(context):
     for process, known in context.known:
-        there = {each.name for each in context.world.processes if each.domain == process.domain}
-        assert there <= known, (process.name, there - known)
+        members = {each.name for each in context.world.processes if each.domain == process.domain}
+        assert members <= known, (process.name, members - known)
     domains = {each.domain for each in context.world.processes}
-    assert len(context.firsts) == len(domains), context.firsts
+    assert len(context.follower_sets) == len(domains), context.follower_sets
     assert FOLLOWERS_PER_DOMAIN == 2
 
 
-def killed(world):
-    gone = world.processes[3]
-    gone.kill()
-    return lambda: all(gone.name not in each.live_names() for each in world.living)
+def kill_process(world):
+    target = world.processes[3]
+    target.kill()
+    return lambda: all(target.name not in each.live_names() for each in world.live_processes)
 
 
-def leaves(world):
-    gone = world.processes[3]
-    gone.alive = False
-    world.nursery.start_soon(gone.peers.leave)
+def leave(world):
+    target = world.processes[3]
+    target.alive = False
+    world.nursery.start_soon(target.peers.leave)
 
-    def holds():
-        near = [each for each in world.living if each.domain == gone.domain]
-        return all(gone.name not in able(each) for each in near)
+    def condition():
+        domain_peers = [each for each in world.live_processes if each.domain == target.domain]
+        return all(target.name not in available_names(each) for each in domain_peers)
 
-    return holds
+    return condition
 
 
-def able(process):
+def available_names(process):
     members = process.peers.roster.live()
     return {each.name for each in members if each.domain == process.domain and not each.leaving}
 
 
-def restarts(world):
-    gone = world.processes[3]
-    gone.kill()
-    anew = PeerProcess(world, gone.name, gone.domain, 2)
-    world.processes[3] = anew
-    world.nursery.start_soon(anew.run)
+def restart_process(world):
+    target = world.processes[3]
+    target.kill()
+    restarted = PeerProcess(world, target.name, target.domain, 2)
+    world.processes[3] = restarted
+    world.nursery.start_soon(restarted.run)
 
-    def holds():
+    def condition():
         starts = [
             member.start
-            for each in world.living
+            for each in world.live_processes
             for member in each.peers.roster.live()
-            if each.domain == gone.domain and member.name == gone.name
+            if each.domain == target.domain and member.name == target.name
         ]
-        near = [each for each in world.living if each.domain == gone.domain]
-        return starts == [2] * len(near)
+        domain_peers = [each for each in world.live_processes if each.domain == target.domain]
+        return starts == [2] * len(domain_peers)
 
-    return holds
+    return condition
 
 
-async def cut_and_join(world):
-    world.cut_apart = True
+async def partition_and_join(world):
+    world.is_partitioned = True
     await trio.sleep(20.0)
-    assert not any(other_domain(each) for each in world.processes)
-    world.cut_apart = False
+    assert not any(names_outside(each) for each in world.processes)
+    world.is_partitioned = False
 
 
-def other_domain(process):
+def names_outside(process):
     return {name for name in process.live_names() if name[0] != process.domain}
 
 
@@ -109,12 +109,14 @@
     async def story(world):
         await trio.sleep(SETTLE_SECONDS)
         if event.startswith("the domains"):
-            await cut_and_join(world)
-            holds = lambda: all(other_domain(each) for each in world.processes)  # noqa: E731
+            await partition_and_join(world)
+            condition = lambda: all(names_outside(each) for each in world.processes)  # noqa: E731
         else:
-            words = {"killed": killed, "leaves": leaves, "clock": restarts}
-            holds = next(act for word, act in words.items() if event.endswith(word))(world)
-        context.after = await world.until(holds, 30.0)
+            actions = {"killed": kill_process, "leaves": leave, "clock": restart_process}
+            condition = next(act for ending, act in actions.items() if event.endswith(ending))(
+                world
+            )
+        context.elapsed = await world.until(condition, 30.0)
 
     context.world.play(story)
 
@@ -124,11 +126,11 @@
 @then("within {seconds:d} seconds everybody of its domain knows its new start")
 @then("within {seconds:d} seconds each knows somebody of the other domain")
 def outcome_in_time(context, seconds):
-    assert context.after is not None and context.after <= seconds, context.after
+    assert context.elapsed is not None and context.elapsed <= seconds, context.elapsed
 
 
 @when("one of them knows all other members")
-def knows_all(context):
+def all_known(context):
     clock = lambda: 0.0  # noqa: E731
     names = [f"front-some-hall-{each}" for each in range(400)]
     members = [
@@ -141,9 +143,9 @@
 
 @then("its digest has at most {most:d} bytes")
 def digest_size(context, most):
-    told = context.roster.select_for_digest("some-hall", MEMBERS_PER_DIGEST)
-    assert len(told) == MEMBERS_PER_DIGEST
-    assert len(encode_digest(Digest(context.roster.own, told))) <= most
+    selected = context.roster.select_for_digest("some-hall", MEMBERS_PER_DIGEST)
+    assert len(selected) == MEMBERS_PER_DIGEST
+    assert len(encode_digest(Digest(context.roster.own, selected))) <= most
 
 
 @then(
