--- a/deckcourse/peers/gossip.py
+++ b/deckcourse/peers/gossip.py
@@ -24,7 +24,7 @@
 DOMAIN_PEERS_PER_ROUND = 3
 # Every this many rounds, one digest goes to a member of another domain or to a seed, which rejoins
 # the domains after a partition. It is sent less often because traffic between domains costs more.
-OUTSIDE_ROUND_INTERVAL = 3
+ROUNDS_PER_OUTSIDE_DIGEST = 3
 # Members in one digest: 18 of 70 bytes each fit in one packet.
 MEMBERS_PER_DIGEST = 18
 # Members that get a crash at once: all of a small site. The others read it from the store.
@@ -131,7 +131,7 @@
         ):
             await self._send_digest(member.address, member.domain)
         is_isolated = len(domain_peers) < MIN_DOMAIN_PEERS
-        if is_isolated or self._rounds % OUTSIDE_ROUND_INTERVAL == 0:
+        if is_isolated or self._rounds % ROUNDS_PER_OUTSIDE_DIGEST == 0:
             await self._send_outside_domain(is_isolated)
         self._rounds += 1
 
