--- a/deckcourse/http1/client.py
+++ b/deckcourse/http1/client.py
@@ -26,7 +26,7 @@
 ]
 
 # How long an idle connection is kept if the upstream sends no Keep-Alive timeout.
-DEFAULT_IDLE_SECONDS = 20.0
+DEFAULT_IDLE_TIMEOUT_SECONDS = 20.0
 # An upstream's Keep-Alive timeout is given in whole seconds; its connections are dropped this much
 # earlier.
 IDLE_MARGIN_SECONDS = 0.6
@@ -90,7 +90,7 @@
         self._h11 = h11.Connection(h11.CLIENT)
         self._closing = False
         self._ended = False
-        self._idle_seconds = DEFAULT_IDLE_SECONDS
+        self._idle_timeout_seconds = DEFAULT_IDLE_TIMEOUT_SECONDS
         self._parked_at = 0.0
         self._idle_deadline = 0.0
         self._recent_calls: deque[str] = deque(maxlen=REMEMBERED_CALLS)
@@ -175,7 +175,7 @@
         for parameter in header_value(headers, b"keep-alive").split(b","):
             name, _, value = parameter.strip().partition(b"=")
             if name.lower() == b"timeout" and value.strip().isdigit():
-                self._idle_seconds = float(value) - IDLE_MARGIN_SECONDS
+                self._idle_timeout_seconds = float(value) - IDLE_MARGIN_SECONDS
 
     async def next_data(self) -> bytes | None:
         """See `UpstreamReply.next_data`."""
@@ -207,14 +207,14 @@
             return False
         if self._h11.their_state is not h11.DONE or self.has_trailing_bytes:
             return False
-        return self._idle_seconds > 0
+        return self._idle_timeout_seconds > 0
 
     def park(self) -> None:
         """Prepare for the next call and start the idle time."""
         self._request_events = ()
         self._h11.start_next_cycle()
         self._parked_at = trio.current_time()
-        self._idle_deadline = self._parked_at + self._idle_seconds
+        self._idle_deadline = self._parked_at + self._idle_timeout_seconds
 
     def sound(self, max_idle_seconds: float) -> bool:
         """Return whether an idle connection may be used: not expired, not closed, no unread bytes.
@@ -252,7 +252,7 @@
     async def acquire(
         self,
         address: str,
-        max_idle_seconds: float = DEFAULT_IDLE_SECONDS,
+        max_idle_seconds: float = DEFAULT_IDLE_TIMEOUT_SECONDS,
         unlike: str | None = None,
     ) -> UpstreamConnection:
         """Return a connection to `IP:port`, an idle one if any is usable.
@@ -298,7 +298,7 @@
     async def lent(
         self,
         address: str,
-        max_idle_seconds: float = DEFAULT_IDLE_SECONDS,
+        max_idle_seconds: float = DEFAULT_IDLE_TIMEOUT_SECONDS,
         unlike: str | None = None,
     ) -> AsyncIterator[UpstreamConnection]:
         """Acquire a connection for one call; close it if the call is interrupted.
--- a/deckcourse/peers/shared_feed.py
+++ b/deckcourse/peers/shared_feed.py
@@ -42,7 +42,7 @@
 # How long a snapshot may wait for the state of other processes, seconds.
 SNAPSHOT_TIMEOUT_SECONDS = 0.75
 # Shortest wait for changes from other processes before the store is read, seconds. During an outage
-# readers ask without a wait of their own.
+# readers pass no wait of their own.
 MIN_WAIT_SECONDS = 0.15
 
 
