--- a/deckcourse/peers/datagrams.py
+++ b/deckcourse/peers/datagrams.py
@@ -38,7 +38,7 @@
     async def send(self, address: str, data: bytes) -> None:
         """Send a datagram to `IP:port`; one that can't be sent is lost."""
         if not is_address(address):
-            return  # The address came from another process and is not validated.
+            return  # Addresses come from other processes and may be malformed.
         host, _, port = address.rpartition(":")
         try:
             await self._socket.sendto(data, (host, int(port)))
