--- a/features/mutants_peers.py
+++ b/features/mutants_peers.py
@@ -1,4 +1,4 @@
-"""Mutants of what processes know together, and of decisions on paths at the worst load."""
+"""Mutants of the state that processes share, and of path choices under the highest load."""
 
 import trio
 
@@ -7,42 +7,42 @@
 from deckcourse.decisions import path_draw, path_load, usual_paths
 from deckcourse.gateway.retry_allowance import RetryAllowance
 from deckcourse.layers.healer import Healer
-from deckcourse.peers.knowledge import Knowledge
+from deckcourse.peers.knowledge import SharedState
 from deckcourse.peers.relay import RelayEnd
 from deckcourse.peers.roster import Roster
 from deckcourse.peers.shared_feed import SharedFeed
 
 
 def everybody_asks_the_store():
-    SharedFeed._asks_store = lambda self: True
+    SharedFeed._may_read_store = lambda self: True
 
 
 def silence_goes_unnoticed():
-    relay_module.SILENCE_SECONDS = 1000.0
+    relay_module.SILENCE_TIMEOUT_SECONDS = 1000.0
 
 
 def sources_behind_are_kept():
-    kept = SharedFeed._reason_to_leave
+    original = SharedFeed._reason_to_leave
 
     def reason(self):
-        found = kept(self)
-        return None if found is RelayEnd.BEHIND else found
+        found = original(self)
+        return None if found is RelayEnd.STALE else found
 
     SharedFeed._reason_to_leave = reason
 
 
 def frames_count_from_arrival():
-    kept = Knowledge.take
+    original = SharedState.merge
 
-    def take(self, frame, origin):
+    def merge(self, frame, origin):
         newest = max((seconds for _, seconds in frame.as_of.values()), default=0.0)
-        kept(self, frame, trio.current_time() - newest)
+        original(self, frame, trio.current_time() - newest)
 
-    Knowledge.take = take
+    SharedState.merge = merge
 
 
 def the_dead_live_on():
-    Roster._is_news = lambda self, member, now: True
+    Roster._is_newer = lambda self, member, now: True
 
 
 def one_first_host_a_copy():
@@ -82,21 +82,21 @@
 
 
 def witnesses_hurry_for_good():
-    kept = Healer._note_planned
+    original = Healer._note_planned
 
     def note_planned(self, group):
         witnessed = set(self._witnessed)
-        kept(self, group)
+        original(self, group)
         self._witnessed = witnessed
 
     Healer._note_planned = note_planned
 
 
 def allowance_never_grows():
-    kept = RetryAllowance.__init__
+    original = RetryAllowance.__init__
 
     def begin(self, *args):
-        kept(self, *args)
+        original(self, *args)
         self._starting_until = float("-inf")
 
     RetryAllowance.__init__ = begin
