--- a/deckcourse/gateway/known_starts.py
+++ b/deckcourse/gateway/known_starts.py
@@ -1,53 +1,53 @@
-"""Which starts of upstreams are known: the newest of each name, and those that ended."""
+"""Known incarnations of upstreams: the newest of each name, the ended and the leaving ones."""
 
 __all__ = ["KnownStarts"]
 
-# So many names of upstreams and so many ended starts are remembered: what is said late of one that
-# ended must not bring it back, and a process must not grow with each restart.
-MOST_REMEMBERED = 10_000
+# Bound on the names, ended and leaving incarnations that are kept. Late messages about an ended
+# incarnation must not revive it, and memory must not grow with each restart.
+MAX_ENTRIES = 10_000
 
 
 class KnownStarts:
-    """Remembers starts; those noted longest ago are forgotten."""
+    """Bounded records of incarnations; the least recently recorded ones are evicted."""
 
     def __init__(self) -> None:
         self._newest: dict[str, int] = {}
         self._ended: dict[str, None] = {}
         self._leaving: dict[str, None] = {}
 
-    def newest(self, name: str, otherwise: int) -> int:
-        """Return the newest start of a name."""
-        return self._newest.get(name, otherwise)
+    def newest(self, name: str, default: int) -> int:
+        """Return the newest start time of a name, `default` if none is known."""
+        return self._newest.get(name, default)
 
     def note(self, name: str, start: int) -> None:
-        """Note the newest start of a name."""
-        _remember(self._newest, name, start)
+        """Record the newest start time of a name."""
+        _put(self._newest, name, start)
 
-    def end(self, instance: str) -> None:
-        """Note that a start ended."""
-        _remember(self._ended, instance, None)
+    def mark_ended(self, instance: str) -> None:
+        """Record that an incarnation ended."""
+        _put(self._ended, instance, None)
 
-    def begin(self, instance: str) -> None:
-        """Note that a start is the one of its name."""
+    def mark_current(self, instance: str) -> None:
+        """Record that an incarnation is the current one of its name."""
         self._ended.pop(instance, None)
 
     def has_ended(self, instance: str) -> bool:
-        """Return whether a newer start of the same upstream is known."""
+        """Return whether an incarnation was superseded by a newer one of its name."""
         return instance in self._ended
 
     def note_leaving(self, instance: str) -> bool:
-        """Note that a start said itself that it leaves; return whether that is news."""
-        is_news = instance not in self._leaving
-        _remember(self._leaving, instance, None)
-        return is_news
+        """Record that an incarnation announced its shutdown; return whether that is new."""
+        is_new = instance not in self._leaving
+        _put(self._leaving, instance, None)
+        return is_new
 
     def is_leaving(self, instance: str) -> bool:
-        """Return whether a start said itself that it leaves; nothing takes that back."""
+        """Return whether an incarnation announced its shutdown, which is never withdrawn."""
         return instance in self._leaving
 
 
-def _remember(known: dict, key: str, value: int | None) -> None:
-    known.pop(key, None)
-    known[key] = value
-    while len(known) > MOST_REMEMBERED:
-        del known[next(iter(known))]
+def _put(entries: dict, key: str, value: int | None) -> None:
+    entries.pop(key, None)
+    entries[key] = value
+    while len(entries) > MAX_ENTRIES:
+        del entries[next(iter(entries))]
--- a/deckcourse/gateway/lapse_check.py
+++ b/deckcourse/gateway/lapse_check.py
@@ -1,9 +1,9 @@
-"""Tells upstreams whose rows lapsed from those that are gone, by short questions to each.
+"""Probes upstreams whose rows lapsed in a store outage, to find those that are lost.
 
-Load pattern: the store was away, upstreams left or were lost meanwhile, and at its return their
-rows are missing beside those of living upstreams that could not renew theirs. The layers of the
-lost ones can be loaded elsewhere at once; without the question all wait for two seconds until the
-rows of the living must be back.
+Load pattern: upstreams left or were lost during a store outage. Afterwards their rows are missing,
+and so are those of live upstreams that could not renew theirs. The layers of the lost ones can be
+loaded elsewhere at once; without the probe, healing waits two seconds, until the rows of the live
+ones must have returned.
 """
 
 from collections.abc import Callable
@@ -16,71 +16,71 @@
 
 __all__ = ["LapseCheck"]
 
-# Between two looks for rows that lapsed, seconds: they come in over the first moments.
-LOOK_SECONDS = 0.1
-# An upstream that leaves so many questions unanswered counts as lost: one may meet a lost packet.
-QUESTIONS = 3
-# It counts as lost for so long, seconds: by then its row is back, or gone for good.
-LOST_SECONDS = 2.5
+# Interval between checks for lapsed rows, seconds: more may lapse just after the store recovers.
+CHECK_INTERVAL_SECONDS = 0.1
+# Unanswered probes after which an upstream counts as lost: one may be due to a lost packet.
+MAX_PROBES = 3
+# Duration of that state, seconds: by then its row has returned, or is gone for good.
+LOST_TTL_SECONDS = 2.5
 
 
 class LapseCheck:
-    """One process's questions; only those that plan first need to ask.
+    """Probes for one process; only processes that plan first need to send them.
 
     Args:
-      upstreams: whose rows lapsed, and who gets the suspicions.
-      orderer: asks upstreams how many orders they took, which those that live answer.
-      asks: returns whether this process asks.
-      log: writes decisions.
+      upstreams: the upstream table, which names lapsed rows and records lost upstreams.
+      orderer: queries the order count of an upstream, which serves as the probe.
+      probes: returns whether this process sends probes.
+      log: writes the decision log.
     """
 
     def __init__(
         self,
         upstreams: UpstreamTable,
         orderer: Orderer,
-        asks: Callable[[], bool],
+        probes: Callable[[], bool],
         log: Callable[..., None],
     ) -> None:
         self._upstreams = upstreams
         self._orderer = orderer
-        self._asks = asks
+        self._probes = probes
         self._log = log
-        self._asked: set[str] = set()
-        self._returned = trio.Event()
+        self._probed: set[str] = set()
+        self._store_recovered = trio.Event()
 
-    def store_returned(self) -> None:
-        """Note that the store came back: rows may be missing now."""
-        self._returned.set()
+    def on_store_recovered(self) -> None:
+        """Start probing: the store recovered, and rows may be missing."""
+        self._store_recovered.set()
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Probe after each store outage until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
-                await self._returned.wait()
-                self._returned = trio.Event()
-                self._asked.clear()
+                await self._store_recovered.wait()
+                self._store_recovered = trio.Event()
+                self._probed.clear()
                 while not self._upstreams.settled:
-                    if self._asks():
+                    if self._probes():
                         self._ask_new(nursery)
-                    await trio.sleep(LOOK_SECONDS)
+                    await trio.sleep(CHECK_INTERVAL_SECONDS)
 
     def _ask_new(self, nursery: trio.Nursery) -> None:
-        """Ask the upstreams with layers whose rows lapsed since the last look."""
+        """Probe the upstreams with layers whose rows lapsed since the last check."""
         for row in self._upstreams.lapsed():
-            # A rate limited upstream may have no token left for the question.
-            is_asked = row.instance in self._asked or self._upstreams.throttles.is_limited(
+            # A rate limited upstream may have no token left for the probe.
+            skips_probe = row.instance in self._probed or self._upstreams.throttles.is_limited(
                 row.instance
             )
-            if row.end > row.first and not is_asked:
-                self._asked.add(row.instance)
-                nursery.start_soon(self._ask, row)
+            if row.end > row.first and not skips_probe:
+                self._probed.add(row.instance)
+                nursery.start_soon(self._probe, row)
 
-    async def _ask(self, row: Upstream) -> None:
+    async def _probe(self, row: Upstream) -> None:
         orders = None
-        for _ in range(QUESTIONS):
+        for _ in range(MAX_PROBES):
             orders = await self._orderer.order_count(row)
             if orders is not None:
                 break
         if orders is None and any(each == row for each in self._upstreams.lapsed()):
-            self._upstreams.suspect(row.instance, LOST_SECONDS, lost=True)
+            self._upstreams.suspect(row.instance, LOST_TTL_SECONDS, lost=True)
         self._log("row-lapsed", instance=row.instance, answers=orders is not None)
--- a/deckcourse/gateway/node.py
+++ b/deckcourse/gateway/node.py
@@ -1,4 +1,4 @@
-"""One gateway process: it follows the store, serves callers and takes part in the placement."""
+"""Assembles one gateway process: store feeds, request handling and layer healing."""
 
 from collections.abc import Awaitable, Callable
 from functools import partial
@@ -41,38 +41,38 @@
 
 __all__ = ["GatewayNode"]
 
-# The part of the revocation time after which nothing that needs a key is sent any more: a key
-# taken away just after the last sign of the store must not open anything when that time is over.
-STALE_SHARE = 0.8
-# The part of it that one question for changes waits at the store: its answer is also the sign that
-# the store is in reach. A shorter wait costs calls, a longer one delays that sign.
-CONTACT_SHARE = 0.2
-# The part of it that such an answer may be late by before the process calls itself not ready: the
-# balancer then turns to others, which may see the store.
-LATE_SHARE = 0.15
-# What a process carries of all traffic where there are so few that waits and pauses need not grow
-# with their number.
-SMALL_SITE_SHARE = 0.1
-# Before there was any traffic nothing hurries: waits and pauses are so many times as long, and
-# fewer processes come together.
-FACTOR_BEFORE_TRAFFIC = 4.0
-# How many times longer than others a process refuses what is to be tried once more, at the most:
-# one tries, and tells the rest, before they do.
-SPREAD = 0.5
-# Between a fault in background work and its next run, seconds.
-FAULT_PAUSE_SECONDS = 0.2
+# Share of the revocation time after which requests that need a key are refused: a key revoked just
+# after the last contact with the store must not be accepted once the revocation time is over.
+MAX_STALENESS_SHARE = 0.8
+# Share of the revocation time that one poll for changes waits at the store. Its reply also shows
+# that the store is available: a shorter wait costs calls, a longer one delays that signal.
+POLL_WAIT_SHARE = 0.2
+# Share of the revocation time by which such a reply may be late before the process reports itself
+# as not ready: the balancer then uses other processes, which may still reach the store.
+POLL_GRACE_SHARE = 0.15
+# Traffic share of a process on a site so small that waits and pauses need not grow with the number
+# of processes.
+SMALL_SITE_TRAFFIC_SHARE = 0.1
+# Factor for waits and pauses before any traffic was measured: nothing is urgent then, and longer
+# pauses make simultaneous polls of many processes rarer.
+INITIAL_PROCESS_FACTOR = 4.0
+# Maximum share by which a process lengthens a quarantine, chosen at random: one process retries the
+# request and publishes the result before the others do.
+MAX_QUARANTINE_EXTENSION_SHARE = 0.5
+# Pause before background work is restarted after an unexpected exception, seconds.
+FAULT_COOLDOWN_SECONDS = 0.2
 
 
 class GatewayNode:
-    """One process: its parts, and what it knows of the configuration and of the upstreams.
+    """One gateway process: its components, configuration and upstream table.
 
     Args:
-      identity: who the process is.
-      ports: the outside systems and the ways to reach them.
-      settings: returns the settings in force.
-      counters: counts and timings.
-      log: writes decisions.
-      random: for waits that should differ between processes.
+      identity: the identity of the process.
+      ports: the external systems and the clients that reach them.
+      settings: returns the current settings.
+      counters: receives counters and timings.
+      log: writes the decision log.
+      random: randomizes waits, so that they differ between processes.
     """
 
     def __init__(
@@ -90,17 +90,17 @@
         self._counters = counters
         self._log = log
         self._random = random
-        self._traffic = TrafficShare(trio.current_time)
+        self._traffic_share = TrafficShare(trio.current_time)
         self._desired: DesiredState | None = None
         self._desired_changed = trio.Event()
         self._upstreams = UpstreamTable(trio.current_time, self._note_ended)
-        ports.control.judge_starts(self._judge_start)
-        self._limits = RateLimitBook(trio.current_time, self._note_limit)
-        notices = NoticeIntake(self._upstreams, self._limits, counters.count, log)
+        ports.control.judge_starts(self._on_observed_start)
+        self._rate_limits = RateLimitBook(trio.current_time, self._on_limit_change)
+        notices = NoticeIntake(self._upstreams, self._rate_limits, counters.count, log)
         ports.control.listen(notices.apply)
-        self._choices: dict[str, PathChoice] = {}
+        self._path_choices: dict[str, PathChoice] = {}
         self._healers: dict[str, Healer] = {}
-        self._book = PlanBook(ports.table, identity.author)
+        self._plan_book = PlanBook(ports.table, identity.author)
         self._stopping = False
         rows = ports.rows
         self._peers = Peers(
@@ -108,16 +108,16 @@
             ports.feed,
             (rows.operator_table, rows.upstream_table, PLAN_TABLE, CRASH_TABLE),
             ports.pool,
-            self._contact_wait,
-            self._note_return,
+            self._poll_wait,
+            self._on_store_recovered,
             random,
             log,
             counters.gauge,
             counters.count,
         )
-        self._crashes = self._new_crash_watch()
-        self._rates = RateGate(
-            self._limits,
+        self._crash_watch = self._new_crash_watch()
+        self._rate_gate = RateGate(
+            self._rate_limits,
             self._upstreams,
             ports.table,
             identity.author,
@@ -127,15 +127,15 @@
             counters.count,
             log,
         )
-        ports.control.admit(self._rates.admit)
+        ports.control.admit(self._rate_gate.admit)
         intake = RowIntake(
             rows,
             self._upstreams,
-            self._book,
+            self._plan_book,
             ports.pool,
             self._take_desired,
-            self._hear_plan,
-            self._note_gone,
+            self._on_plan,
+            self._on_row_gone,
             counters.count,
             log,
         )
@@ -146,9 +146,9 @@
             intake.operator_row,
             random,
             self._on_contact,
-            self._contact_wait,
+            self._poll_wait,
             self._process_factor,
-            self._is_told,
+            self._receives_relayed_changes,
             self._is_paced,
         )
         self._upstream_feed = Follower(
@@ -159,7 +159,7 @@
             random,
             self._on_list_contact,
             process_factor=self._process_factor,
-            gathered=self._is_told,
+            gathered=self._receives_relayed_changes,
             paced=self._is_paced,
         )
         self._plan_feed = Follower(
@@ -169,7 +169,7 @@
             intake.plan_row,
             random,
             process_factor=self._process_factor,
-            gathered=self._is_told,
+            gathered=self._receives_relayed_changes,
             paced=self._is_paced,
         )
         self._crash_feed = Follower(
@@ -180,24 +180,29 @@
             random,
             self._on_list_contact,
             process_factor=self._process_factor,
-            gathered=self._is_told,
+            gathered=self._receives_relayed_changes,
             paced=self._is_paced,
         )
         self._lapse_check = LapseCheck(
             self._upstreams, ports.orderer, lambda: self._peers.feed.follows, log
         )
         self._monitor = StallMonitor(
-            self._upstreams, ports.control, self._choice, self._witness, counters.count, log
+            self._upstreams,
+            ports.control,
+            self._path_choice,
+            self._report_lost_upstream,
+            counters.count,
+            log,
         )
         context = GatewayContext(
             upstreams=self._upstreams,
             notices=notices,
-            crashes=self._crashes,
-            rates=self._rates,
+            crashes=self._crash_watch,
+            rates=self._rate_gate,
             dialect=ports.dialect,
             pool=ports.pool,
             monitor=self._monitor,
-            choices=self._choice,
+            choices=self._path_choice,
             may_send=self.may_send,
             count=counters.count,
             timing=counters.timing,
@@ -208,17 +213,17 @@
 
     @property
     def gateway(self) -> Gateway:
-        """What answers callers' requests."""
+        """The handler of callers' requests."""
         return self._gateway
 
     @property
     def peers(self) -> Peers:
-        """What this process shares with the others of its site."""
+        """The state shared with the other processes of the site."""
         return self._peers
 
     @property
     def stopping(self) -> bool:
-        """Whether the process is on its way to its end."""
+        """Whether the process is shutting down."""
         return self._stopping
 
     @property
@@ -226,65 +231,68 @@
         """Whether the balancer may send new connections here."""
         if self._stopping or self._desired is None or not self._upstream_feed.known:
             return False
-        return self._age() < self._contact_wait() + self._settings().revocation * LATE_SHARE
+        return (
+            self._configuration_age()
+            < self._poll_wait() + self._settings().revocation * POLL_GRACE_SHARE
+        )
 
     @property
     def bounds(self) -> CallerBounds:
-        """What callers may send and how long they may take."""
+        """The limits on callers' message sizes and timeouts."""
         return self._desired.bounds if self._desired is not None else CallerBounds()
 
     async def handle_peer(self, request: IncomingRequest, exchange: Exchange) -> None:
-        """Answer another process, or an operator."""
+        """Handle a request from a peer or an operator."""
         path, _, identity = request.target.partition(b"?")
         if path != QUARANTINE_PATH:
             await self._peers.handle(request, exchange)
             return
         if request.method == b"DELETE":
-            known = self._crashes.release(identity.decode("latin-1"))
+            known = self._crash_watch.release(identity.decode("latin-1"))
             await exchange.whole(200 if known else 404, (), b"")
             return
         kind = (b"content-type", b"application/json")
-        await exchange.whole(200, (kind,), encode_quarantine(self._crashes.view()))
+        await exchange.whole(200, (kind,), encode_quarantine(self._crash_watch.view()))
 
     def stop(self) -> None:
-        """Turn new callers away; what is in flight goes on."""
+        """Report the process as stopping and not ready; running requests continue."""
         self._stopping = True
 
     def refuse_new(self) -> None:
-        """Refuse every request that comes from now on; those under way go on."""
+        """Refuse every new request; running ones continue."""
         self._gateway.refuse_new()
 
     def may_send(self) -> bool:
-        """Return whether the configuration is fresh enough for what needs a key."""
-        return self._age() < self._settings().revocation * STALE_SHARE
+        """Return whether the configuration is recent enough to accept client keys."""
+        return self._configuration_age() < self._settings().revocation * MAX_STALENESS_SHARE
 
-    def _age(self) -> float:
+    def _configuration_age(self) -> float:
         return trio.current_time() - self._operator_feed.as_of
 
     async def run(self) -> None:
-        """Do the background work until cancelled."""
+        """Run the background tasks until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._keep_up, self._peers.gossip.run)
-            nursery.start_soon(self._keep_up, self._peers.feed.run)
-            nursery.start_soon(self._keep_up, self._operator_feed.run)
-            nursery.start_soon(self._keep_up, self._upstream_feed.run)
-            nursery.start_soon(self._keep_up, self._plan_feed.run)
-            nursery.start_soon(self._keep_up, self._crash_feed.run)
-            nursery.start_soon(self._keep_up, self._lapse_check.run)
-            nursery.start_soon(self._keep_up, self._monitor.run)
-            nursery.start_soon(self._keep_up, self._crashes.run)
-            nursery.start_soon(self._keep_up, self._rates.run)
+            nursery.start_soon(self._run_forever, self._peers.gossip.run)
+            nursery.start_soon(self._run_forever, self._peers.feed.run)
+            nursery.start_soon(self._run_forever, self._operator_feed.run)
+            nursery.start_soon(self._run_forever, self._upstream_feed.run)
+            nursery.start_soon(self._run_forever, self._plan_feed.run)
+            nursery.start_soon(self._run_forever, self._crash_feed.run)
+            nursery.start_soon(self._run_forever, self._lapse_check.run)
+            nursery.start_soon(self._run_forever, self._monitor.run)
+            nursery.start_soon(self._run_forever, self._crash_watch.run)
+            nursery.start_soon(self._run_forever, self._rate_gate.run)
             nursery.start_soon(self._start_healers, nursery)
 
-    async def _keep_up(self, work: Callable[..., Awaitable[None]], *args: object) -> None:
-        """Run background work for ever; a fault in it is told, and must not end the process."""
+    async def _run_forever(self, work: Callable[..., Awaitable[None]], *args: object) -> None:
+        """Run a background task forever; log its exceptions, which must not end the process."""
         while True:
             try:
                 await work(*args)
             except Exception as error:
                 self._counters.count("fault")
                 self._log("fault", work=work.__qualname__, error="".join(format_exception(error)))
-            await trio.sleep(FAULT_PAUSE_SECONDS)
+            await trio.sleep(FAULT_COOLDOWN_SECONDS)
 
     async def _start_healers(self, nursery: trio.Nursery) -> None:
         """Start a healer for each service whose upstreams hold layers."""
@@ -296,38 +304,38 @@
                     healer = Healer(
                         name,
                         self._upstreams,
-                        self._book,
+                        self._plan_book,
                         self._ports.orderer,
                         self._random,
                         self._log,
-                        self._turn,
+                        self._planning_rank,
                     )
                     self._healers[name] = healer
                     model = partial(self._model_of, name)
-                    nursery.start_soon(self._keep_up, healer.run, model, self._may_heal)
-                    nursery.start_soon(self._keep_up, self._choice(name).watch.run)
+                    nursery.start_soon(self._run_forever, healer.run, model, self._may_heal)
+                    nursery.start_soon(self._run_forever, self._path_choice(name).watch.run)
             await changed.wait()
 
-    def _contact_wait(self) -> float:
-        """Return how long a question for changes of the configuration waits, seconds."""
-        return self._settings().revocation * CONTACT_SHARE
+    def _poll_wait(self) -> float:
+        """Return how long a poll for configuration changes waits at the store, seconds."""
+        return self._settings().revocation * POLL_WAIT_SHARE
 
-    def _is_told(self) -> bool:
-        """Return whether others tell this process of changes."""
+    def _receives_relayed_changes(self) -> bool:
+        """Return whether this process receives changes from peers rather than the store."""
         return not self._peers.feed.follows
 
     def _is_paced(self) -> bool:
-        """Return whether pauses between questions to the store are left by the shared feed."""
+        """Return whether the shared feed decides how often the store is polled."""
         return self._peers.feed.paces
 
     def _process_factor(self) -> float:
-        """Return how many times as many processes there are as on a small site."""
-        if not self._traffic.measured:
-            return FACTOR_BEFORE_TRAFFIC
-        return self._traffic.spread(1.0, SMALL_SITE_SHARE)
+        """Return the number of processes relative to that of a small site."""
+        if not self._traffic_share.measured:
+            return INITIAL_PROCESS_FACTOR
+        return self._traffic_share.spread(1.0, SMALL_SITE_TRAFFIC_SHARE)
 
-    def _turn(self, group: Group) -> int:
-        """Return how many processes go before this one where a group needs a plan."""
+    def _planning_rank(self, group: Group) -> int:
+        """Return how many processes precede this one in planning for a group."""
         domains = {each.domain for each in group.hosts}
         roster = self._peers.roster
         return turn_of(roster.own, roster.live(), domains, group.name)
@@ -337,11 +345,13 @@
         return spec.model if spec is not None else None
 
     def _may_heal(self) -> bool:
-        # Also on the way to the end: nobody else may have seen an upstream of this domain fail.
+        # Also during shutdown: no other process may have seen an upstream of this domain fail.
         return self._upstream_feed.known and self.may_send()
 
     def _new_crash_watch(self) -> CrashWatch:
-        evidence = CrashEvidence(trio.current_time, 1.0 + SPREAD * self._random.random())
+        evidence = CrashEvidence(
+            trio.current_time, 1.0 + MAX_QUARANTINE_EXTENSION_SHARE * self._random.random()
+        )
         self._crash_book = CrashBook(
             self._ports.table, evidence, lambda: self._peers.feed.follows, self._counters.count
         )
@@ -355,80 +365,82 @@
         )
 
     def _new_allowance(self) -> RetryAllowance:
-        return RetryAllowance(self._retry_limits, self._share_of_traffic, trio.current_time)
+        return RetryAllowance(self._retry_limits, self._own_traffic_share, trio.current_time)
 
     def _retry_limits(self) -> RetryLimits:
         settings = self._settings()
         return RetryLimits(settings.retry_ratio, settings.retry_slack, settings.retry_window)
 
-    def _share_of_traffic(self) -> float:
-        return self._traffic.share
+    def _own_traffic_share(self) -> float:
+        return self._traffic_share.share
 
-    def _choice(self, service: str) -> PathChoice:
-        if service not in self._choices:
-            self._choices[service] = PathChoice(
+    def _path_choice(self, service: str) -> PathChoice:
+        if service not in self._path_choices:
+            self._path_choices[service] = PathChoice(
                 service,
                 self._identity.name,
                 self._identity.domain,
                 self._upstreams,
                 trio.current_time,
                 self._ports.control,
-                self._traffic,
+                self._traffic_share,
                 self._peers.loads,
                 lambda: self._peers.feed.follows,
                 self._random,
             )
-        return self._choices[service]
+        return self._path_choices[service]
 
-    def _witness(self, domain: str) -> None:
+    def _report_lost_upstream(self, domain: str) -> None:
         for healer in self._healers.values():
             healer.witness(domain)
 
     def _note_ended(self, older: Upstream) -> None:
-        """Take in that an upstream started again: nothing of its older start is there any more."""
-        self._limits.forget(older.instance)
+        """Drop the state of a superseded incarnation after its upstream restarted."""
+        self._rate_limits.forget(older.instance)
         self._counters.count("upstream.restarted")
         self._log("upstream-restarted", instance=older.instance, address=older.address)
         self._ports.pool.forget(older.address)
         self._monitor.note_ended(older)
-        self._crashes.note_ended(older.instance)
+        self._crash_watch.note_ended(older.instance)
 
-    def _note_limit(self, limit: RateLimit, source: str) -> None:
+    def _on_limit_change(self, limit: RateLimit, source: str) -> None:
         """Apply a new, changed or ended rate limit."""
         self._upstreams.note_limited(limit.instance, limit.rate is not None)
-        self._rates.note_change(limit, source)
+        self._rate_gate.note_change(limit, source)
 
-    def _note_gone(self, upstream: Upstream) -> None:
-        """Take in that an upstream's row is gone, which may lapse while the store is away."""
+    def _on_row_gone(self, upstream: Upstream) -> None:
+        """Treat the upstream of a deleted row as ended, unless it left or its row may be lapsed."""
         if not upstream.leaving and self._upstreams.settled:
-            self._crashes.note_ended(upstream.instance)
+            self._crash_watch.note_ended(upstream.instance)
 
-    def _judge_start(self, asked: Upstream, start: int) -> StartNews:
-        """Take in the start that an upstream itself told; others may not know of a newer one."""
-        listed = self._upstreams.get(asked.instance) is not None
-        news = self._upstreams.hear_start(asked, start)
-        if listed and news is StartNews.NEWER:
-            self._witness(asked.domain)
-        return news
+    def _on_observed_start(self, addressed: Upstream, start: int) -> StartNews:
+        """Record the start time in a reply; peers may not know of a newer incarnation yet."""
+        listed = self._upstreams.get(addressed.instance) is not None
+        observed = self._upstreams.observe_start(addressed, start)
+        if listed and observed is StartNews.NEWER:
+            self._report_lost_upstream(addressed.domain)
+        return observed
 
-    def _note_return(self, moment: float | None = None) -> None:
-        """Take in that the store is back, now or since a moment."""
-        self._upstreams.store_returned(moment)
-        self._lapse_check.store_returned()
+    def _on_store_recovered(self, at_time: float | None = None) -> None:
+        """Record that the store recovered, now or at a given time."""
+        self._upstreams.on_store_recovered(at_time)
+        self._lapse_check.on_store_recovered()
 
     def _on_list_contact(self, regained: bool) -> None:
         if regained:
-            self._note_return()
+            self._on_store_recovered()
             if self._operator_feed.lost:
-                # Else its pause goes on, and the configuration counts as old meanwhile.
+                # Otherwise its backoff continues, and the configuration stays stale meanwhile.
                 self._operator_feed.ask_anew()
 
     def _on_contact(self, regained: bool) -> None:
         if regained:
-            self._note_return()
+            self._on_store_recovered()
         self._upstream_feed.ask_anew()
         self._counters.count("store.regained" if regained else "store.lost")
-        self._log("store-regained" if regained else "store-lost", age=round(self._age(), 3))
+        self._log(
+            "store-regained" if regained else "store-lost", age=round(self._configuration_age(), 3)
+        )
 
     def _take_desired(self, desired: DesiredState) -> None:
         known = self._desired.version if self._desired is not None else None
@@ -439,7 +451,7 @@
         self._desired_changed = trio.Event()
         self._log("configuration", version=desired.version, before=known)
 
-    def _hear_plan(self, group: str, record: PlanRecord) -> None:
+    def _on_plan(self, group: str, record: PlanRecord) -> None:
         for service, healer in self._healers.items():
             model = self._model_of(service)
             if model is not None and model.name == record.model:
--- a/deckcourse/gateway/node_ports.py
+++ b/deckcourse/gateway/node_ports.py
@@ -1,4 +1,4 @@
-"""Who a gateway process is, and the outside systems that it works with."""
+"""The identity of a gateway process and the external systems that it uses."""
 
 from dataclasses import dataclass
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class GatewayIdentity:
-    """Who the process is; `author` is new at each start."""
+    """The identity of the process; `author` differs for each of its incarnations."""
 
     name: str
     domain: str
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class GatewayPorts:
-    """The outside systems and the ways to reach them."""
+    """The external systems and the clients that reach them."""
 
     table: TableService
     feed: ChangeFeed
--- a/deckcourse/gateway/notice_intake.py
+++ b/deckcourse/gateway/notice_intake.py
@@ -1,4 +1,4 @@
-"""Applies the hints in upstream responses to the upstream table and the rate limits."""
+"""Applies the notices in upstream responses to the upstream table and the rate limits."""
 
 from collections.abc import Callable
 
@@ -13,10 +13,10 @@
     """Applies upstream notices.
 
     Args:
-      upstreams: records pauses and leaving upstreams.
+      upstreams: records backoffs and leaving upstreams.
       limits: records rate limits.
-      count: counts by name.
-      log: writes decisions.
+      count: increments a counter by name.
+      log: writes the decision log.
     """
 
     def __init__(
@@ -34,13 +34,13 @@
     def apply(
         self, instance: str, notice: UpstreamNotice, sent_at: float, is_question: bool = False
     ) -> None:
-        """Apply the notice in an upstream's answer.
+        """Apply the notice in an upstream's response.
 
         Args:
           instance: the upstream.
           notice: the parsed headers.
-          sent_at: when its request was sent, on trio's clock.
-          is_question: whether it answers a question or an order rather than a caller's request.
+          sent_at: when the request was sent, on trio's clock.
+          is_question: whether it responds to a query or an order rather than a caller's request.
         """
         if notice.anonymous:
             return
--- a/deckcourse/gateway/refused_rows.py
+++ b/deckcourse/gateway/refused_rows.py
@@ -1,48 +1,48 @@
-"""Rows that name no upstream to use: each is told of once, and counted at each reading."""
+"""Logs each rejected upstream row once and counts it whenever it is read."""
 
 from collections.abc import Callable
 
 __all__ = ["RefusedRows"]
 
-# Rows that are told of at the most until one of them is good or gone: a table full of them must
-# fill neither the log nor the memory.
-MOST_TOLD = 256
-# Letters of a key and of a reason that are written.
-LONGEST_KEY = 64
-LONGEST_REASON = 200
+# Rejected rows that are logged until one of them is valid or gone: a table full of them must fill
+# neither the log nor the memory.
+MAX_LOGGED_ROWS = 256
+# Keys and reasons are truncated to these numbers of characters in the log.
+MAX_KEY_CHARS = 64
+MAX_REASON_CHARS = 200
 
 
 class RefusedRows:
-    """Remembers which rows were told of.
+    """Tracks which rejected rows were logged.
 
     Args:
-      count: counts by name.
-      log: writes decisions.
+      count: increments a counter by name.
+      log: writes the decision log.
     """
 
     def __init__(self, count: Callable[[str], None], log: Callable[..., None]) -> None:
         self._count = count
         self._log = log
-        self._told: set[str] = set()
+        self._logged: set[str] = set()
 
     def note(self, kind: str, key: str, reason: str) -> None:
-        """Note one reading of a row.
+        """Count a rejected row and log it unless it was logged before.
 
         Args:
-          kind: what is wrong, as counts and the log call it.
-          key: the row.
-          reason: why it isn't used.
+          kind: the kind of rejection, used in the counter name and the log.
+          key: the key of the row.
+          reason: why it was rejected.
         """
         self._count(f"{kind}.upstream")
-        if key in self._told or len(self._told) >= MOST_TOLD:
+        if key in self._logged or len(self._logged) >= MAX_LOGGED_ROWS:
             return
-        self._told.add(key)
-        self._log(kind, key=key[:LONGEST_KEY], what=reason[:LONGEST_REASON])
+        self._logged.add(key)
+        self._log(kind, key=key[:MAX_KEY_CHARS], what=reason[:MAX_REASON_CHARS])
 
     def forget(self, key: str) -> None:
-        """Note that a row is good or gone: the next time it is told of again."""
-        self._told.discard(key)
+        """Record that a row is valid or gone: its next rejection is logged again."""
+        self._logged.discard(key)
 
     def keep_only(self, keys: set[str]) -> None:
-        """Note all rows that there are: others are gone."""
-        self._told &= keys
+        """Drop all rows but those with the given keys."""
+        self._logged &= keys
--- a/deckcourse/gateway/row_intake.py
+++ b/deckcourse/gateway/row_intake.py
@@ -1,4 +1,4 @@
-"""Rows of the store as they come: decoded, logged where they tell news, and handed on."""
+"""Decodes rows of the store, logs changes and applies them."""
 
 from collections.abc import Callable, Sequence
 from typing import Protocol
@@ -16,8 +16,8 @@
 
 __all__ = ["RowIntake", "RowReader"]
 
-# Letters of what is wrong with a desired state that are written.
-LONGEST_PROBLEM = 200
+# Errors in a desired state are truncated to this number of characters in the log.
+MAX_ERROR_CHARS = 200
 
 
 class RowReader(Protocol):
@@ -28,25 +28,25 @@
     desired_key: str
 
     def desired_state(self, value: bytes) -> Result[DesiredState, str]:
-        """Return the desired state that a row holds, or what is wrong."""
+        """Return the desired state in a row, or the error."""
 
     def upstream(self, name: str, value: bytes) -> Result[Upstream, str]:
-        """Return the start of an upstream that its row tells of, or what is wrong."""
+        """Return the incarnation that an upstream's row describes, or the error."""
 
 
 class RowIntake:
-    """Takes in the rows of the operators, of the upstreams and of plans.
+    """Applies changes of the operator, upstream and plan tables.
 
     Args:
       reader: decodes rows.
-      upstreams: gets the upstreams' rows.
-      book: gets the plans.
-      pool: connections to an upstream that is gone are closed there.
-      on_desired: gets each desired state that can be read.
-      on_plan: gets each plan that another process just made, with its group.
-      on_gone: told of each upstream whose row is gone.
-      count: counts by name.
-      log: writes decisions.
+      upstreams: receives the upstreams' rows.
+      book: receives the plans.
+      pool: closes idle connections to upstreams that are gone.
+      on_desired: called with each well-formed desired state.
+      on_plan: called with the group and record of each plan that another process has just made.
+      on_gone: called with each upstream whose row is gone.
+      count: increments a counter by name.
+      log: writes the decision log.
     """
 
     def __init__(
@@ -74,31 +74,31 @@
         self._log = log
 
     def operator_rows(self, rows: Sequence[Row]) -> None:
-        """Take in a reading of the operators' table."""
+        """Apply a snapshot of the operator table."""
         for row in rows:
             self.operator_row(_key_in_table(row), row.value, row.version)
 
     def operator_row(self, key: str, value: bytes | None, version: int) -> None:
-        """Take in one row of the operators' table."""
+        """Apply one changed row of the operator table."""
         if key != self._reader.desired_key or value is None:
             return
         match self._reader.desired_state(value):
             case Success(desired):
-                self._listed.name_services(desired.services)
-                for each in self._listed.waiting():
-                    self._note_service(each)
+                self._listed.add_services(desired.services)
+                for each in self._listed.unconfigured():
+                    self._check_service(each)
                 self._on_desired(desired)
-            case Failure(problem):
+            case Failure(error):
                 self._count("malformed.desired-state")
-                self._log("malformed", what=problem[:LONGEST_PROBLEM])
+                self._log("malformed", what=error[:MAX_ERROR_CHARS])
 
     def plan_rows(self, rows: Sequence[Row]) -> None:
-        """Take in a reading of the plans: those made before this process looked are old."""
+        """Record a snapshot of the plans; these aren't new and cause no callback."""
         for row in rows:
             self._book.note(row)
 
     def plan_row(self, key: str, value: bytes | None, version: int) -> None:
-        """Take in one plan."""
+        """Apply one changed plan."""
         if value is None:
             return
         record = self._book.note(Row(f"{PLAN_TABLE}/{key}", version, value))
@@ -106,23 +106,23 @@
             self._on_plan(key, record)
 
     def upstream_rows(self, rows: Sequence[Row]) -> None:
-        """Take in a reading of the upstreams' table."""
-        found = {_key_in_table(row): row for row in rows}
-        self._refused.keep_only(set(found))
-        good = []
-        for key, row in found.items():
+        """Apply a snapshot of the upstream table."""
+        by_key = {_key_in_table(row): row for row in rows}
+        self._refused.keep_only(set(by_key))
+        valid = []
+        for key, row in by_key.items():
             upstream = self._decode(key, row.value)
             if upstream is None:
                 self._withdraw(key)
             else:
-                good.append((row.version, upstream))
-        self._listed.replace_all(good)
+                valid.append((row.version, upstream))
+        self._listed.replace_all(valid)
 
     def upstream_row(self, key: str, value: bytes | None, version: int) -> None:
-        """Take in one upstream's row; no value where it is gone."""
+        """Apply one changed row of the upstream table, without a value if it was deleted."""
         if value is None:
             self._refused.forget(key)
-            self._note_gone(key)
+            self._on_row_gone(key)
             self._listed.remove(key)
             return
         row = self._decode(key, value)
@@ -133,7 +133,7 @@
         self._listed.put(row, version)
         if self._upstreams.named(key) != row:
             self._close_idle(known)
-        elif known is None or _news(known) != _news(row):
+        elif known is None or _logged_fields(known) != _logged_fields(row):
             self._log(
                 "upstream",
                 instance=row.instance,
@@ -146,11 +146,11 @@
             )
 
     def _withdraw(self, key: str) -> None:
-        """Take in that a row names no upstream to use, whatever it said before."""
-        self._note_gone(key)
+        """Remove the upstream of a row that no longer names a usable one."""
+        self._on_row_gone(key)
         self._listed.withdraw(key)
 
-    def _note_gone(self, key: str) -> None:
+    def _on_row_gone(self, key: str) -> None:
         known = self._upstreams.named(key)
         if known is not None:
             self._close_idle(known)
@@ -164,24 +164,24 @@
     def _decode(self, key: str, value: bytes) -> Upstream | None:
         match self._reader.upstream(key, value):
             case Success(row):
-                self._note_service(row)
+                self._check_service(row)
                 return row
-            case Failure(problem):
-                self._refused.note("malformed", key, problem)
+            case Failure(error):
+                self._refused.note("malformed", key, error)
         return None
 
-    def _note_service(self, row: Upstream) -> None:
-        """Note a row that can be read, and whether its service is named."""
+    def _check_service(self, row: Upstream) -> None:
+        """Record whether the service of a well-formed row is configured."""
         if self._listed.is_named(row):
             self._refused.forget(row.name)
-        elif self._listed.knows_services:
-            self._refused.note("unnamed", row.name, f"service {row.service} is named nowhere")
+        elif self._listed.has_services:
+            self._refused.note("unnamed", row.name, f"service {row.service} is not configured")
 
 
 def _key_in_table(row: Row) -> str:
     return row.key.partition("/")[2]
 
 
-def _news(row: Upstream) -> tuple[str, int, int, bool]:
-    """Return what of a row is logged when it changes."""
+def _logged_fields(row: Upstream) -> tuple[str, int, int, bool]:
+    """Return the fields of a row whose changes are logged."""
     return row.instance, row.first, row.end, row.leaving
--- a/deckcourse/gateway/upstream.py
+++ b/deckcourse/gateway/upstream.py
@@ -1,4 +1,4 @@
-"""One start of an upstream, and which start says something."""
+"""One incarnation of an upstream, and how two incarnations compare."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,7 +7,7 @@
 
 
 class StartNews(StrEnum):
-    """Which start of an upstream says something, beside the one that was asked."""
+    """The incarnation that sent a reply, relative to the one that was addressed."""
 
     SAME = "same"
     NEWER = "newer"
@@ -16,11 +16,11 @@
 
 @dataclass(frozen=True)
 class Upstream:
-    """One start of an upstream; `instance` is new at each start.
+    """One incarnation of an upstream; `instance` differs for each incarnation.
 
-    `first` and `end` are the layers held, `end` left out; 0 and 0 for none. `row_name` is what the
-    upstream is called in all its starts, empty where `instance` is; `start` rises from one start to
-    the next, None where it isn't told.
+    `first` (inclusive) and `end` (exclusive) are the held layer range, 0 and 0 for none. `row_name`
+    is the name that all incarnations share, empty if it equals `instance`. `start` is the start
+    time, which rises with each incarnation; None if unknown.
     """
 
     instance: str
@@ -38,5 +38,5 @@
 
     @property
     def name(self) -> str:
-        """What it is called in all its starts."""
+        """The name that all incarnations share."""
         return self.row_name or self.instance
--- a/deckcourse/gateway/upstream_notice.py
+++ b/deckcourse/gateway/upstream_notice.py
@@ -1,4 +1,4 @@
-"""Hints that an upstream gives in the head of an answer."""
+"""Notices about itself that an upstream sends in response headers."""
 
 from dataclasses import dataclass
 
@@ -7,12 +7,12 @@
 
 @dataclass(frozen=True)
 class UpstreamNotice:
-    """Hints of the upstream that gave an answer.
+    """Parsed notice headers of one response.
 
-    `backoff` is for how long it wants no request from the process that it answers, seconds, 0 where
-    it asks for no such time; `leaving` says that it is about to end; `malformed` that it asks for
-    something unreadable. `rate_limit` is how many requests a second it takes from all processes
-    together, None where it names no limit. `anonymous` says that another one may have answered.
+    `backoff` is the pause in seconds that the upstream requests from this process, 0 for none;
+    `leaving` announces its shutdown; `malformed` marks headers that don't parse. `rate_limit` is
+    the number of requests a second that it accepts from all processes together, None for no limit.
+    `anonymous` marks a response that another upstream may have sent.
     """
 
     backoff: float = 0.0
