--- a/deckcourse/gateway/refused_rows.py
+++ b/deckcourse/gateway/refused_rows.py
@@ -23,7 +23,7 @@
     def __init__(self, count: Callable[[str], None], log: Callable[..., None]) -> None:
         self._count = count
         self._log = log
-        self._logged: set[str] = set()
+        self._told: set[str] = set()
 
     def note(self, kind: str, key: str, reason: str) -> None:
         """Count a rejected row and log it unless it was logged before.
@@ -34,15 +34,15 @@
           reason: why it was rejected.
         """
         self._count(f"{kind}.upstream")
-        if key in self._logged or len(self._logged) >= MAX_LOGGED_ROWS:
+        if key in self._told or len(self._told) >= MAX_LOGGED_ROWS:
             return
-        self._logged.add(key)
+        self._told.add(key)
         self._log(kind, key=key[:MAX_KEY_CHARS], what=reason[:MAX_REASON_CHARS])
 
     def forget(self, key: str) -> None:
         """Record that a row is valid or gone: its next rejection is logged again."""
-        self._logged.discard(key)
+        self._told.discard(key)
 
     def keep_only(self, keys: set[str]) -> None:
         """Drop all rows but those with the given keys."""
-        self._logged &= keys
+        self._told &= keys
