--- a/deckcourse/gateway/backoffs.py
+++ b/deckcourse/gateway/backoffs.py
@@ -1,4 +1,4 @@
-"""Until when upstreams want no requests from this process, by their own word."""
+"""Deadlines of the pauses that upstreams asked for."""
 
 from collections.abc import Callable
 
@@ -6,33 +6,33 @@
 
 
 class Backoffs:
-    """The deadlines that upstreams asked for; each runs out by itself, and by nothing else.
+    """Deadlines by name; each expires at its time, unless it is cleared.
 
     Args:
-      clock: seconds, steady.
+      clock: a monotonic clock, seconds.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
-        self._until: dict[str, float] = {}
+        self._deadlines: dict[str, float] = {}
 
-    def note(self, name: str, seconds: float) -> None:
-        """Note that an upstream wants nothing for so long; a shorter time shortens nothing."""
+    def extend(self, name: str, seconds: float) -> None:
+        """Extend a deadline to `seconds` from now; never shorten it."""
         deadline = self._clock() + seconds
-        self._until[name] = max(deadline, self._until.get(name, deadline))
+        self._deadlines[name] = max(deadline, self._deadlines.get(name, deadline))
 
-    def end(self, name: str) -> None:
-        """End an upstream's time at once."""
-        self._until.pop(name, None)
+    def clear(self, name: str) -> None:
+        """Drop a deadline."""
+        self._deadlines.pop(name, None)
 
-    def until(self, name: str) -> float | None:
-        """Return until when an upstream wants nothing, None where it takes requests."""
-        deadline = self._until.get(name)
+    def deadline(self, name: str) -> float | None:
+        """Return the deadline of a name, None if it has none or it expired."""
+        deadline = self._deadlines.get(name)
         return deadline if deadline is not None and deadline > self._clock() else None
 
     def names(self) -> list[str]:
-        """Return those that want nothing now; the others are forgotten."""
+        """Return the names with a deadline in the future; drop expired ones."""
         now = self._clock()
-        if any(deadline <= now for deadline in self._until.values()):
-            self._until = {name: at for name, at in self._until.items() if at > now}
-        return list(self._until)
+        if any(deadline <= now for deadline in self._deadlines.values()):
+            self._deadlines = {name: at for name, at in self._deadlines.items() if at > now}
+        return list(self._deadlines)
--- a/deckcourse/gateway/crash_book.py
+++ b/deckcourse/gateway/crash_book.py
@@ -1,8 +1,8 @@
-"""The rows that keep what is known of requests under which upstreams ended.
+"""Stores the crashes of upstreams and the suspect requests in the platform's store.
 
-Processes come and go, and some don't reach each other; what must hold for all of them, and for
-those that start later, stands in the platform's store: one row for each end under a request, so
-that whoever writes it writes the same.
+Processes restart, and some can't reach each other, so that evidence that all of them need, also
+those that start later, is stored. Each pair of crash and suspect request has a row of its own, so
+that all processes that write it write the same value.
 """
 
 from collections.abc import Callable, Sequence
@@ -18,140 +18,140 @@
 __all__ = ["CRASH_TABLE", "CrashBook"]
 
 CRASH_TABLE = "crashes"
-# Rows of one transaction: fewer than the store takes.
-MOST_WRITES = 50
-# Rows that wait to be written at the most; beyond that others' word must do.
-MOST_WAITING = 4096
-# Rows that the table holds at the most; the oldest go.
-MOST_ROWS = 4096
-# Between two tries while the store gives no answer, seconds; doubled up to the longest.
-RETRY_SECONDS = 0.1
-LONGEST_RETRY_SECONDS = 1.6
+# Rows written in one transaction, below the limit of the store.
+MAX_WRITES_PER_TRANSACTION = 50
+# Bound on pending writes; further crashes are published to peers only.
+MAX_PENDING_ROWS = 4096
+# Bound on the rows in the table; beyond it the oldest are removed.
+MAX_ROWS = 4096
+# Backoff while the store is unavailable, seconds; doubled up to the maximum.
+MIN_RETRY_BACKOFF_SECONDS = 0.1
+MAX_RETRY_BACKOFF_SECONDS = 1.6
 
 _encoder = msgspec.json.Encoder()
 _decoder = msgspec.json.Decoder(Crash)
 
 
 class CrashBook:
-    """One process's part in the table.
+    """Reads and writes the crash table for one process.
 
     Args:
       table: the store.
-      evidence: what the rows say is noted there.
-      tidies: returns whether this process removes what the table has too much of.
-      count: counts by name.
+      evidence: receives the crashes in the rows.
+      may_prune: returns whether this process removes rows that are no longer needed.
+      count: increments a counter by name.
     """
 
     def __init__(
         self,
         table: TableService,
         evidence: CrashEvidence,
-        tidies: Callable[[], bool],
+        may_prune: Callable[[], bool],
         count: Callable[[str], None],
     ) -> None:
         self._table = table
         self._evidence = evidence
-        self._tidies = tidies
+        self._may_prune = may_prune
         self._count = count
-        # The rows that are there, the oldest first.
+        # The rows in the table, the oldest first.
         self._rows: dict[str, Crash] = {}
-        # What the table should hold, and hold no more where it is None.
-        self._waiting: dict[str, Crash | None] = {}
-        self._more = trio.Event()
+        # Rows to write by key, None to delete the row.
+        self._pending: dict[str, Crash | None] = {}
+        self._pending_added = trio.Event()
 
     def write(self, crash: Crash) -> None:
-        """Have an end written; returns at once."""
+        """Schedule the write of a crash; returns at once."""
         key = _key(crash)
         if key not in self._rows:
-            self._want(key, crash)
+            self._schedule(key, crash)
 
     def remove(self, identity: str) -> None:
-        """Have all that is written of a request removed; returns at once."""
-        ours = [each for each in self._waiting if each.startswith(identity)]
-        for key in ours:
-            del self._waiting[key]
-        # What is under way may be written all the same.
-        for key in [*ours, *(each for each in self._rows if each.startswith(identity))]:
-            self._want(key, None)
-
-    def tidy(self) -> None:
-        """Have rows removed that nobody needs any more, if that is this process's to do."""
-        if self._tidies():
-            known = set(self._evidence.identities)
-            for crash in [each for each in self._rows.values() if each.identity not in known]:
-                self._want(_key(crash), None)
-
-    def _want(self, key: str, crash: Crash | None) -> None:
-        if len(self._waiting) < MOST_WAITING:
-            self._waiting[key] = crash
-            self._more.set()
+        """Schedule the removal of all rows of a request; returns at once."""
+        pending = [each for each in self._pending if each.startswith(identity)]
+        for key in pending:
+            del self._pending[key]
+        # A write that is in progress may still succeed, so its row is deleted as well.
+        for key in [*pending, *(each for each in self._rows if each.startswith(identity))]:
+            self._schedule(key, None)
+
+    def prune(self) -> None:
+        """Schedule the removal of rows of forgotten requests, if this process may prune."""
+        if self._may_prune():
+            suspects = set(self._evidence.identities)
+            for crash in [each for each in self._rows.values() if each.identity not in suspects]:
+                self._schedule(_key(crash), None)
+
+    def _schedule(self, key: str, crash: Crash | None) -> None:
+        if len(self._pending) < MAX_PENDING_ROWS:
+            self._pending[key] = crash
+            self._pending_added.set()
 
     async def run(self) -> None:
-        """Write what is wanted until cancelled."""
-        pause = RETRY_SECONDS
+        """Write the scheduled rows until cancelled."""
+        backoff = MIN_RETRY_BACKOFF_SECONDS
         while True:
-            if not self._waiting:
-                self._more = trio.Event()
-                await self._more.wait()
-            if await self._write_some():
-                pause = RETRY_SECONDS
+            if not self._pending:
+                self._pending_added = trio.Event()
+                await self._pending_added.wait()
+            if await self._write_batch():
+                backoff = MIN_RETRY_BACKOFF_SECONDS
             else:
-                await trio.sleep(pause)
-                pause = min(2 * pause, LONGEST_RETRY_SECONDS)
-
-    async def _write_some(self) -> bool:
-        """Write a few rows; return whether the store took them."""
-        for key in [each for each in self._waiting if self._is_done(each)]:
-            del self._waiting[key]
-        wanted = dict(list(self._waiting.items())[:MOST_WRITES])
-        if not wanted:
+                await trio.sleep(backoff)
+                backoff = min(2 * backoff, MAX_RETRY_BACKOFF_SECONDS)
+
+    async def _write_batch(self) -> bool:
+        """Write a batch of rows; return whether the store committed it."""
+        for key in [each for each in self._pending if self._is_written(each)]:
+            del self._pending[key]
+        batch = dict(list(self._pending.items())[:MAX_WRITES_PER_TRANSACTION])
+        if not batch:
             return True
-        match await self._table.transact([_write(*each) for each in wanted.items()]):
+        match await self._table.transact([_write(*each) for each in batch.items()]):
             case Success(Committed()):
-                for each in wanted.items():
-                    self._note_written(*each)
+                for each in batch.items():
+                    self._on_committed(*each)
                 return True
         return False
 
-    def _note_written(self, key: str, crash: Crash | None) -> None:
+    def _on_committed(self, key: str, crash: Crash | None) -> None:
         if crash is None:
             self._rows.pop(key, None)
         else:
             self._rows[key] = crash
-        if key in self._waiting and self._waiting[key] == crash:
-            del self._waiting[key]
-
-    def _is_done(self, key: str) -> bool:
-        """Return whether another process wrote meanwhile what is wanted."""
-        return self._waiting[key] is not None and key in self._rows
-
-    def take_all(self, rows: Sequence[Row]) -> None:
-        """Take in a reading of the table."""
-        found = {row.key.partition("/")[2]: row.value for row in rows}
-        for key in [each for each in self._rows if each not in found]:
-            self._take_removal(key)
-        for key, value in found.items():
-            self.take(key, value, 0)
-
-    def take(self, key: str, value: bytes | None, version: int) -> None:
-        """Take in one row; no value where it is gone."""
+        if key in self._pending and self._pending[key] == crash:
+            del self._pending[key]
+
+    def _is_written(self, key: str) -> bool:
+        """Return whether another process has written this row already."""
+        return self._pending[key] is not None and key in self._rows
+
+    def apply_snapshot(self, rows: Sequence[Row]) -> None:
+        """Apply a snapshot of the table."""
+        values = {row.key.partition("/")[2]: row.value for row in rows}
+        for key in [each for each in self._rows if each not in values]:
+            self._apply_removal(key)
+        for key, value in values.items():
+            self.apply_row(key, value, 0)
+
+    def apply_row(self, key: str, value: bytes | None, version: int) -> None:
+        """Apply one changed row, without a value if it was deleted."""
         if value is None:
-            self._take_removal(key)
+            self._apply_removal(key)
             return
         crash = _decode(key, value)
         if crash is None:
             self._count("malformed.crash")
             return
         self._rows[key] = crash
-        if self._evidence.is_disproved(crash.identity):
-            self._want(key, None)
+        if self._evidence.succeeded_recently(crash.identity):
+            self._schedule(key, None)
             return
-        self._evidence.note(crash)
-        if len(self._rows) > MOST_ROWS and self._tidies():
-            self._want(next(iter(self._rows)), None)
+        self._evidence.record(crash)
+        if len(self._rows) > MAX_ROWS and self._may_prune():
+            self._schedule(next(iter(self._rows)), None)
 
-    def _take_removal(self, key: str) -> None:
-        """Take in that a row is gone: another process saw the request run well, or released it."""
+    def _apply_removal(self, key: str) -> None:
+        """Apply a deletion: the request succeeded or was released at another process."""
         crash = self._rows.pop(key, None)
         if crash is not None:
             self._evidence.clear(crash.identity)
@@ -166,7 +166,7 @@
 
 
 def _decode(key: str, value: bytes) -> Crash | None:
-    """Return what a row tells of, None where it is none: anybody may have written it."""
+    """Return the crash in a row, None if malformed: any client of the store may write rows."""
     try:
         crash = _decoder.decode(value)
     except (msgspec.MsgspecError, RecursionError):
--- a/deckcourse/gateway/crash_check.py
+++ b/deckcourse/gateway/crash_check.py
@@ -1,7 +1,7 @@
-"""Whether an upstream whose connection broke has ended, or only the connection did.
+"""Probes upstreams after a broken connection, to tell a crash from a connection failure.
 
-Connections are reset, answers break off and machines are cut off without any fault of a request: a
-request is under suspicion only where its upstream ended.
+Connections are reset, responses break off and machines are cut off through no fault of a request: a
+request becomes suspect only if its upstream ended.
 """
 
 from collections.abc import Callable
@@ -15,27 +15,28 @@
 
 __all__ = ["CrashCheck"]
 
-# One that is there answers within 3 ms, one that ended turns connections down as quickly, seconds.
-ANSWER_SECONDS = 0.04
-# What ended gets no new work for so long, seconds: its row goes later.
-SUSPECT_SECONDS = 4.0
+# Probe timeout, seconds: a live upstream replies within 3 ms, and the machine of an ended one
+# refuses connections as quickly.
+PROBE_TIMEOUT_SECONDS = 0.04
+# Time for which an ended upstream gets no new requests, seconds: its row is removed later.
+SUSPICION_TTL_SECONDS = 4.0
 
 
 @dataclass
-class _Question:
-    """A question under way, and its answer."""
+class _Probe:
+    """A probe in progress, and its result."""
 
-    answered: trio.Event = field(default_factory=trio.Event)
-    pulse: Pulse = Pulse.SILENT
+    done: trio.Event = field(default_factory=trio.Event)
+    result: Pulse = Pulse.SILENT
 
 
 class CrashCheck:
-    """Asks each upstream once, however many of its requests broke off together.
+    """Probes each upstream once, however many of its requests broke off together.
 
     Args:
-      upstreams: where an end is noted.
-      control: asks upstreams.
-      log: writes decisions.
+      upstreams: records lost upstreams.
+      control: sends probes.
+      log: writes the decision log.
     """
 
     def __init__(
@@ -44,40 +45,40 @@
         self._upstreams = upstreams
         self._control = control
         self._log = log
-        self._questions: dict[str, _Question] = {}
+        self._probes: dict[str, _Probe] = {}
 
-    async def pulse(self, upstream: Upstream, has_layers: bool) -> Pulse:
-        """Return whether an upstream is there; DEAD where it has ended.
+    async def probe(self, upstream: Upstream, has_layers: bool) -> Pulse:
+        """Probe an upstream; return DEAD if it has ended.
 
         Args:
-          upstream: who is asked.
-          has_layers: whether it answers questions; a plain one would run them.
+          upstream: the upstream.
+          has_layers: whether it accepts queries; a plain upstream would run them as requests.
         """
         instance = upstream.instance
         if self._upstreams.has_ended(instance):
             return Pulse.DEAD
-        question = self._questions.get(instance)
-        if question is None:
-            question = self._questions[instance] = _Question()
-            await self._ask(upstream, has_layers, question)
-        await question.answered.wait()
-        return question.pulse
-
-    async def _ask(self, upstream: Upstream, has_layers: bool, question: _Question) -> None:
+        probe = self._probes.get(instance)
+        if probe is None:
+            probe = self._probes[instance] = _Probe()
+            await self._send_probe(upstream, has_layers, probe)
+        await probe.done.wait()
+        return probe.result
+
+    async def _send_probe(self, upstream: Upstream, has_layers: bool, probe: _Probe) -> None:
         try:
             if has_layers:
-                reading = await self._control.pulse(upstream, ANSWER_SECONDS)
-                question.pulse = reading.pulse
+                reply = await self._control.pulse(upstream, PROBE_TIMEOUT_SECONDS)
+                probe.result = reply.pulse
             else:
-                question.pulse = await self._control.reach(upstream, ANSWER_SECONDS)
+                probe.result = await self._control.reach(upstream, PROBE_TIMEOUT_SECONDS)
         finally:
-            del self._questions[upstream.instance]
-            question.answered.set()
-        if question.pulse is Pulse.DEAD:
-            self._upstreams.suspect(upstream.instance, SUSPECT_SECONDS, lost=True)
+            del self._probes[upstream.instance]
+            probe.done.set()
+        if probe.result is Pulse.DEAD:
+            self._upstreams.suspect(upstream.instance, SUSPICION_TTL_SECONDS, lost=True)
         self._log(
             "broke-off",
             instance=upstream.instance,
             address=upstream.address,
-            pulse=str(question.pulse),
+            pulse=str(probe.result),
         )
--- a/deckcourse/gateway/crash_watch.py
+++ b/deckcourse/gateway/crash_watch.py
@@ -1,7 +1,7 @@
-"""Requests under which upstreams ended: found out, told to others, and refused.
+"""Detects requests that crash upstreams, publishes them to peers, and quarantines them.
 
-A retry carries a fault of the request on to the next upstream, and so does its caller's next
-attempt, at any process and under any id. So what is remembered goes by what the request is.
+A retry sends a faulty request to the next upstream, and so does its caller's next attempt, at any
+process and under any request id. The evidence is therefore kept by the content of the request.
 """
 
 from collections.abc import Callable
@@ -22,41 +22,40 @@
 
 __all__ = ["CrashWatch", "RunStart"]
 
-# Runs that wait to be looked at, at the most: far more than break off together.
-MOST_WAITING = 1024
-# Ends of upstreams that are remembered at the most.
-MOST_ENDED = 1024
-# An upstream that said nothing when it was asked has ended if its row goes, or a newer start is
-# known, within so long after the connection broke, seconds: rows lapse after three reports.
-DOUBT_SECONDS = 10.0
-# For how long a request under suspicion waits for its turn at the most, seconds.
-LONGEST_TRIAL_SECONDS = 0.5
-# Until others have told of who else was at an upstream that ended, seconds.
-HEARD_SECONDS = 0.005
-# What a request under suspicion leaves to each that goes before it, seconds: whatever ends an
-# upstream that begins to run it does so in this time. Of more than so many the rest go together:
-# a first event must come within half a second.
-TURN_SECONDS = 0.12
-MOST_PLACES = 3
-# Between two looks for rows that nobody needs any more, seconds.
-TIDY_SECONDS = 60.0
+# Bound on the queue of broken attempts, far above the number that break off together.
+MAX_QUEUED_BREAKS = 1024
+# Bound on the crashed upstreams that are retained.
+MAX_CRASHED_UPSTREAMS = 1024
+# An upstream that left the probe unanswered counts as crashed if its row is removed, or a newer
+# incarnation appears, within this time after the break, seconds: rows lapse after three reports.
+UNANSWERED_TTL_SECONDS = 10.0
+# Maximum time that a suspect request waits for another one's trial, seconds.
+MAX_TRIAL_WAIT_SECONDS = 0.5
+# Time for peers to report the other requests that a crashed upstream ran, seconds.
+REPORT_WAIT_SECONDS = 0.005
+# Time that a suspect request allows for each one that precedes it, seconds: a request that crashes
+# an upstream does so within it. Suspects beyond this rank run together, since a first event must
+# arrive within half a second.
+TRIAL_SECONDS = 0.12
+MAX_RANK = 3
+# Interval between removals of rows that are no longer needed, seconds.
+PRUNE_INTERVAL_SECONDS = 60.0
 
 
 @dataclass(frozen=True)
 class RunStart:
-    """The beginning of a run of a request at an upstream.
+    """The start of an attempt at an upstream.
 
-    `at` is on trio's clock, `known_ends` how many upstreams were known to have ended under the
-    request by then.
+    `at` is its time on trio's clock, `known_crashes` the crash count of the request at that time.
     """
 
     at: float = 0.0
-    known_ends: int = 0
+    known_crashes: int = 0
 
 
 @dataclass
-class _Break:
-    """A run that broke off before it brought anything; `looked_at` is set once that is judged.
+class _BrokenAttempt:
+    """An attempt that broke off before its first event; `probed` is set after the probe.
 
     `broke_at` is on trio's clock.
     """
@@ -66,29 +65,29 @@
     upstream: Upstream
     has_layers: bool
     broke_at: float
-    looked_at: trio.Event = field(default_factory=trio.Event)
+    probed: trio.Event = field(default_factory=trio.Event)
 
 
 @dataclass
 class _Trial:
-    """The requests under suspicion that run at an upstream and have brought nothing yet."""
+    """The suspect requests in flight at an upstream that have had no event yet."""
 
     identities: set[str] = field(default_factory=set)
-    over: trio.Event = field(default_factory=trio.Event)
+    finished: trio.Event = field(default_factory=trio.Event)
 
 
 class CrashWatch:
-    """What one process does about requests under which upstreams end.
+    """Detects and quarantines requests that crash upstreams, for one process.
 
-    The work goes on where the request that tells of a break is cancelled meanwhile.
+    Broken attempts are processed in the background, also if the request is cancelled meanwhile.
 
     Args:
-      evidence: what is known of requests.
-      check: tells whether an upstream ended.
-      book: keeps what is known in the store.
-      gossip: tells others at once.
-      count: counts by name.
-      log: writes decisions.
+      evidence: the crashes by request.
+      check: probes upstreams after a break.
+      book: stores the crashes.
+      gossip: publishes crashes to peers at once.
+      count: increments a counter by name.
+      log: writes the decision log.
     """
 
     def __init__(
@@ -106,196 +105,199 @@
         self._gossip = gossip
         self._count = count
         self._log = log
-        self._send, self._breaks = trio.open_memory_channel[_Break](MOST_WAITING)
-        # What broke off at upstreams that said nothing, and until when that counts.
-        self._doubted: dict[str, tuple[list[_Break], float]] = {}
-        # The upstreams where requests under suspicion run now and have brought nothing yet.
+        self._send, self._broken_attempts = trio.open_memory_channel[_BrokenAttempt](
+            MAX_QUEUED_BREAKS
+        )
+        # Broken attempts at upstreams that left the probe unanswered, and until when they count.
+        self._unresolved: dict[str, tuple[list[_BrokenAttempt], float]] = {}
+        # The upstreams with suspect requests in flight that have had no event yet.
         self._trials: dict[str, _Trial] = {}
-        # When this process learned of each end, the latest at the end.
-        self._ended_at: dict[str, float] = {}
-        gossip.share_crashes(self._hear_others, evidence.crashes)
+        # When this process learned of the crash of each upstream, in that order.
+        self._crashed_at: dict[str, float] = {}
+        gossip.share_crashes(self._on_peer_crash, evidence.crashes)
 
     def refused_until(self, admitted: Admitted) -> float | None:
-        """Return until when a request is refused, on trio's clock; None where it may run."""
-        # Nothing is worked out where nothing is known, as on all but few days.
+        """Return when the quarantine of a request ends, on trio's clock; None if it may run."""
+        # The usual case: no suspect requests at all.
         if not self._evidence:
             return None
-        until = self._evidence.refused_until(admitted.identity)
-        if until is None and self._is_tried(admitted.identity):
-            return trio.current_time() + LONGEST_TRIAL_SECONDS
+        until = self._evidence.quarantined_until(admitted.identity)
+        if until is None and self._is_in_trial(admitted.identity):
+            return trio.current_time() + MAX_TRIAL_WAIT_SECONDS
         return until
 
-    def _is_tried(self, identity: str) -> bool:
-        """Return whether a convicted request, whose time is over, is tried once more just now."""
-        tried = any(identity in each.identities for each in self._trials.values())
-        return tried and self._evidence.ends(identity) >= CONVICTING_ENDS
+    def _is_in_trial(self, identity: str) -> bool:
+        """Return whether a confirmed request is in flight again after its quarantine ended."""
+        is_in_flight = any(identity in each.identities for each in self._trials.values())
+        return is_in_flight and self._evidence.crash_count(identity) >= CONVICTING_ENDS
 
     def view(self) -> tuple[QuarantineView, ...]:
-        """Return what is known of each request."""
+        """Return the evidence on each suspect request."""
         return quarantine_of(self._evidence, trio.current_time())
 
     def release(self, identity: str) -> bool:
-        """Forget what is known of a request, here and by its rows; return whether there was any."""
-        known = self._evidence.clear(identity)
-        if known:
+        """Clear a request here and in the store; return whether it was suspect."""
+        was_suspect = self._evidence.clear(identity)
+        if was_suspect:
             self._log("crash-released", identity=identity)
             self._book.remove(identity)
-        return known
+        return was_suspect
 
     def known_ends(self, admitted: Admitted) -> int:
-        """Return how many upstreams ended under a request, one after the other."""
-        return self._evidence.ends(admitted.identity) if self._evidence else 0
+        """Return the number of crashes in the chain of a request."""
+        return self._evidence.crash_count(admitted.identity) if self._evidence else 0
 
     def trial_upstreams(self) -> frozenset[str]:
-        """Return the upstreams where requests under suspicion have brought nothing yet."""
+        """Return the upstreams with suspect requests in flight that have had no event yet."""
         return frozenset(self._trials)
 
     async def wait_for_turn(self, admitted: Admitted, instance: str) -> bool:
-        """Wait while another request under suspicion runs where this one would, if it is under it.
+        """If a request is suspect, wait while another suspect is in flight at its upstream.
 
-        Were two of them there at its end, it would tell nothing of either.
+        If the upstream crashed while it ran both, the crash would be evidence against neither.
 
         Returns:
-          Whether it waited: an upstream is to be chosen anew.
+          Whether it waited; if so, the caller must choose an upstream again.
         """
         trial = self._trials.get(instance)
         if trial is None or not self.known_ends(admitted) or admitted.identity in trial.identities:
             return False
-        with trio.move_on_after(LONGEST_TRIAL_SECONDS):
-            await trial.over.wait()
+        with trio.move_on_after(MAX_TRIAL_WAIT_SECONDS):
+            await trial.finished.wait()
         return True
 
     async def wait_behind_others(self, admitted: Admitted, instance: str) -> None:
-        """Wait until those that were at an ended upstream as well, and go before, have been tried.
+        """Wait until the suspects of the same crash that precede a request have been retried.
 
-        They may be at other processes: tried at once, all would be together at the next upstream,
-        and whichever of them ends it, all would be under suspicion for the second time.
+        They may be at other processes. Retried at once, all would meet at the next upstream, and
+        whichever of them crashed it, all would be suspect for the second time.
         """
         if not self.known_ends(admitted):
             return
-        await trio.sleep(HEARD_SECONDS)
-        place = min(MOST_PLACES, self._evidence.place(admitted.identity, instance))
-        await trio.sleep(place * TURN_SECONDS)
+        await trio.sleep(REPORT_WAIT_SECONDS)
+        rank = min(MAX_RANK, self._evidence.rank(admitted.identity, instance))
+        await trio.sleep(rank * TRIAL_SECONDS)
 
     def begin_run(self, admitted: Admitted, instance: str) -> RunStart:
-        """Note that a request is sent to an upstream; return what is known of it by then."""
-        known_ends = self.known_ends(admitted)
-        if known_ends:
+        """Record that a request is sent to an upstream; return the start of the attempt."""
+        known_crashes = self.known_ends(admitted)
+        if known_crashes:
             self._trials.setdefault(instance, _Trial()).identities.add(admitted.identity)
-        return RunStart(trio.current_time(), known_ends)
+        return RunStart(trio.current_time(), known_crashes)
 
     def end_run(self, admitted: Admitted, instance: str) -> None:
-        """Note that what is to be learned of a request at an upstream is known."""
+        """End the trial of a request at an upstream: its outcome is known."""
         trial = self._trials.get(instance)
         if trial is None or admitted.identity not in trial.identities:
             return
         trial.identities.discard(admitted.identity)
         if not trial.identities:
             del self._trials[instance]
-            trial.over.set()
+            trial.finished.set()
 
     def note_ran(self, admitted: Admitted, instance: str) -> None:
-        """Note that an upstream ran a request and is there: it did nothing to the others."""
-        # An answer shows that the upstream had not ended when earlier runs broke off.
-        self._doubted.pop(instance, None)
-        # Always noted: a request that many callers send is known to run well before an upstream
-        # ends under it, however few of them are there at the next end.
-        if self._evidence.note_ran(admitted.identity):
+        """Record that an upstream ran a request and is alive, which clears the request."""
+        # The response shows that the upstream had not ended when earlier attempts broke off.
+        self._unresolved.pop(instance, None)
+        # Recorded for requests that aren't suspect, too: a request that many callers send is then
+        # known to succeed, and a crash soon after doesn't make it suspect, however few of its
+        # attempts are in flight by then.
+        if self._evidence.record_success(admitted.identity):
             self._count("crash.cleared")
             self._log("crash-cleared", identity=admitted.identity)
             self._book.remove(admitted.identity)
 
     async def note_broken(self, admitted: Admitted, upstream: Upstream, start: RunStart) -> None:
-        """Note that a run broke off before it brought anything; return once that is judged.
+        """Record an attempt that broke off before its first event; return after the probe.
 
         Args:
           admitted: the request.
-          upstream: where it ran.
-          start: the run's beginning.
+          upstream: the upstream that ran it.
+          start: the start of the attempt.
         """
         has_layers = admitted.service.model is not None
         now = trio.current_time()
-        broken = _Break(admitted.identity, start, upstream, has_layers, now)
+        broken = _BrokenAttempt(admitted.identity, start, upstream, has_layers, now)
         try:
             self._send.send_nowait(broken)
         except trio.WouldBlock:
             self._count("crash.not-judged")
             return
-        await broken.looked_at.wait()
+        await broken.probed.wait()
 
     def note_ended(self, instance: str) -> None:
-        """Note that an upstream is gone, by its row or by a newer start."""
-        doubted, until = self._doubted.pop(instance, ([], 0.0))
+        """Record that an upstream ended: its row was removed or a newer incarnation is known."""
+        unresolved, until = self._unresolved.pop(instance, ([], 0.0))
         if trio.current_time() >= until:
             return
-        # Runs that began after the first break were sent to an upstream that had already ended:
-        # a proxy in front of it may still accept connections.
-        first_break_at = min(each.broke_at for each in doubted)
-        for broken in doubted:
+        # Attempts that started after the first break were sent to an upstream that had already
+        # ended: a proxy in front of it may still accept connections.
+        first_break_at = min(each.broke_at for each in unresolved)
+        for broken in unresolved:
             if broken.start.at <= first_break_at:
-                self._found(broken)
+                self._record_crash(broken)
 
     async def run(self) -> None:
-        """Judge breaks and keep the table until cancelled."""
+        """Process broken attempts and maintain the crash table until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._book.run)
-            nursery.start_soon(self._tidy)
-            async for broken in self._breaks:
-                nursery.start_soon(self._judge, broken)
+            nursery.start_soon(self._prune_regularly)
+            async for broken in self._broken_attempts:
+                nursery.start_soon(self._process_break, broken)
 
-    async def _tidy(self) -> None:
+    async def _prune_regularly(self) -> None:
         while True:
-            await trio.sleep(TIDY_SECONDS)
-            self._book.tidy()
+            await trio.sleep(PRUNE_INTERVAL_SECONDS)
+            self._book.prune()
 
-    async def _judge(self, broken: _Break) -> None:
+    async def _process_break(self, broken: _BrokenAttempt) -> None:
         crash: Crash | None = None
         try:
-            pulse = await self._check.pulse(broken.upstream, broken.has_layers)
-            if pulse is Pulse.DEAD:
-                crash = self._found(broken)
-            elif pulse is Pulse.SILENT:
-                self._doubt(broken)
+            result = await self._check.probe(broken.upstream, broken.has_layers)
+            if result is Pulse.DEAD:
+                crash = self._record_crash(broken)
+            elif result is Pulse.SILENT:
+                self._defer(broken)
         finally:
-            broken.looked_at.set()
+            broken.probed.set()
         if crash is not None:
             await self._gossip.tell_crash(crash)
 
-    def _doubt(self, broken: _Break) -> None:
+    def _defer(self, broken: _BrokenAttempt) -> None:
         now = trio.current_time()
-        self._doubted = {name: each for name, each in self._doubted.items() if each[1] > now}
+        self._unresolved = {name: each for name, each in self._unresolved.items() if each[1] > now}
         instance = broken.upstream.instance
-        doubted, _ = self._doubted.get(instance, ([], 0.0))
-        recent = [each for each in doubted if now < each.broke_at + DOUBT_SECONDS]
-        self._doubted[instance] = [*recent, broken], now + DOUBT_SECONDS
+        unresolved, _ = self._unresolved.get(instance, ([], 0.0))
+        recent = [each for each in unresolved if now < each.broke_at + UNANSWERED_TTL_SECONDS]
+        self._unresolved[instance] = [*recent, broken], now + UNANSWERED_TTL_SECONDS
 
-    def _found(self, broken: _Break) -> Crash | None:
-        """Take in an end that this process saw; return what others are to be told, if anything.
+    def _record_crash(self, broken: _BrokenAttempt) -> Crash | None:
+        """Record a crash that this process detected; return it if peers need to know.
 
-        What was sent to an upstream that had ended did not end it: whatever stands before one may
-        take connections on.
+        An attempt that started after the crash didn't cause it: a proxy in front of an ended
+        upstream may still accept connections.
         """
         instance = broken.upstream.instance
-        ended_at = self._ended_at.get(instance, float("inf"))
-        if broken.start.at > ended_at or self._evidence.is_disproved(broken.identity):
+        crashed_at = self._crashed_at.get(instance, float("inf"))
+        if broken.start.at > crashed_at or self._evidence.succeeded_recently(broken.identity):
             return None
-        crash = Crash(broken.identity, instance, broken.start.known_ends)
-        self._hear(crash)
+        crash = Crash(broken.identity, instance, broken.start.known_crashes)
+        self._merge_crash(crash)
         self._book.write(crash)
         return crash
 
-    def _hear_others(self, crash: Crash) -> None:
-        """Take in an end that another process tells of, unless that is no longer true."""
-        if not self._evidence.is_outdated(crash.identity):
-            self._hear(crash)
-
-    def _hear(self, crash: Crash) -> None:
-        """Take in an end that this process or another one saw."""
-        self._ended_at.setdefault(crash.instance, trio.current_time())
-        while len(self._ended_at) > MOST_ENDED:
-            del self._ended_at[next(iter(self._ended_at))]
-        if self._evidence.is_disproved(crash.identity) or not self._evidence.note(crash):
+    def _on_peer_crash(self, crash: Crash) -> None:
+        """Merge a crash that a peer reported, unless the request was cleared since."""
+        if not self._evidence.was_just_cleared(crash.identity):
+            self._merge_crash(crash)
+
+    def _merge_crash(self, crash: Crash) -> None:
+        """Merge a crash that this process or a peer detected."""
+        self._crashed_at.setdefault(crash.instance, trio.current_time())
+        while len(self._crashed_at) > MAX_CRASHED_UPSTREAMS:
+            del self._crashed_at[next(iter(self._crashed_at))]
+        if self._evidence.succeeded_recently(crash.identity) or not self._evidence.record(crash):
             return
         self._count("crash.found")
-        ends = self._evidence.ends(crash.identity)
+        ends = self._evidence.crash_count(crash.identity)
         self._log("crash", identity=crash.identity, instance=crash.instance, ends=ends)
--- a/deckcourse/gateway/dialect.py
+++ b/deckcourse/gateway/dialect.py
@@ -1,4 +1,4 @@
-"""What the gateway needs to know of the messages it passes on, apart from their spelling."""
+"""The gateway's view of requests, responses and control messages, independent of their encoding."""
 
 from collections.abc import Awaitable, Callable, Mapping
 from dataclasses import dataclass
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class CallerRequest:
-    """A caller's request with what its headers say; `patience` in seconds, None for no word."""
+    """A caller's request with its parsed headers; `patience` is its timeout, seconds, if any."""
 
     message: IncomingRequest
     request_id: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class Dispatch:
-    """One sending of a request to one upstream; `seconds` is what is left of its time."""
+    """One attempt of a request at an upstream; `seconds` is the time left until its deadline."""
 
     instance: str
     seconds: float
@@ -55,10 +55,11 @@
 
 @dataclass(frozen=True)
 class ReplyFacts:
-    """What the head of an answer says.
+    """The parsed headers of a response.
 
-    `not_run` is the upstream's promise; `at_fault` the address of the one that could not take its
-    part, empty where it's the one that was asked; `notice` what the one that answered asks for.
+    `not_run` is set if the upstream guarantees that it did not execute the request. `at_fault` is
+    the address of the upstream that could not execute its stage, empty for the one addressed.
+    `notice` is the notice of the upstream that responded.
     """
 
     request_id: str
@@ -69,10 +70,10 @@
 
 @dataclass(frozen=True)
 class StallReport:
-    """The requests that wait at the first upstream of their path, each with whom it waits for.
+    """The stalled requests at the first stage of their paths, with their blocking upstreams.
 
-    `pace` is that of the first upstream, as in `PulseReading`. `asked` is false if its rate
-    limit left no token for the question.
+    `waiting_for` maps request ids to addresses. `pace` is that of the first stage, as in
+    `PulseReading`. `asked` is false if its rate limit left no token for the query.
     """
 
     waiting_for: Mapping[str, str]
@@ -81,9 +82,10 @@
 
 
 class Pulse(StrEnum):
-    """How an upstream answered when it was asked whether it is there.
+    """The result of a probe.
 
-    UNASKED if its rate limit left no token for the question.
+    ALIVE if the upstream replied, DEAD if its machine refused the connection, SILENT for no reply,
+    UNASKED if its rate limit left no token for the probe.
     """
 
     ALIVE = "alive"
@@ -94,7 +96,7 @@
 
 @dataclass(frozen=True)
 class PulseReading:
-    """An upstream's answer; `pace` over 1 says how many times slower than usual it works."""
+    """An upstream's reply to a probe; `pace` is its slowdown factor, 1 for its usual speed."""
 
     pulse: Pulse
     pace: float = 1.0
@@ -102,7 +104,7 @@
 
 @dataclass(frozen=True)
 class LoadReport:
-    """What an upstream has to do: requests, and tokens times layers of KV cache."""
+    """The load of an upstream: its requests, and its KV cache in tokens times layers."""
 
     running: int
     queued: int
@@ -111,7 +113,7 @@
 
 
 class MoveResult(StrEnum):
-    """What the first upstream said to a new path of a running request."""
+    """The reply of the first stage to a move of a running request to another path."""
 
     MOVED = "moved"
     UNKNOWN_REQUEST = "unknown-request"
@@ -120,59 +122,59 @@
 
 
 class NoticeListener(Protocol):
-    """Applies what an instance says of itself in the head of an answer."""
+    """Applies the notice of an instance in the headers of a response."""
 
     def __call__(
         self, instance: str, notice: UpstreamNotice, sent_at: float, is_question: bool
     ) -> None:
-        """Apply it; see `NoticeIntake.apply`."""
+        """Apply the notice; see `NoticeIntake.apply`."""
 
 
 class Dialect(Protocol):
-    """Reads and writes the headers of requests and answers."""
+    """Parses and writes the headers of requests and responses."""
 
     def read(self, message: IncomingRequest) -> CallerRequest:
-        """Return what a caller's headers say."""
+        """Return a caller's request with its parsed headers."""
 
     def headers_for(self, request: CallerRequest, dispatch: Dispatch) -> Headers:
-        """Return the headers with which a request goes to an upstream."""
+        """Return the headers of a request for an attempt at an upstream."""
 
     def facts(self, reply: UpstreamReply) -> ReplyFacts:
-        """Return what the head of an answer says."""
+        """Return the parsed headers of a response."""
 
 
 class StreamControl(Protocol):
-    """Asks an upstream about its streams, and moves them.
+    """Sends queries and orders about streams to upstreams.
 
-    What another start of the upstream says than the one that was asked is no answer about it.
+    A reply from another incarnation than the addressed one doesn't count as a reply.
     """
 
     def judge_starts(self, judge: Callable[[Upstream, int], StartNews]) -> None:
-        """Have the start that each answer tells judged, that of answers to orders too."""
+        """Register the callback for the start time in each reply, also to orders."""
 
     def listen(self, listener: NoticeListener) -> None:
-        """Register the listener for notices in answers to questions and orders."""
+        """Register the listener for notices in replies to queries and orders."""
 
     def admit(self, admission: Callable[[str, Purpose], Awaitable[bool]]) -> None:
-        """Register the admission check for questions and orders."""
+        """Register the admission check for queries and orders."""
 
     async def stalled(self, upstream: Upstream) -> StallReport | None:
-        """Return the requests that wait at the first upstream of their path, None unanswered."""
+        """Query the stalled requests whose first stage is an upstream; None if unanswered."""
 
     async def load(self, upstream: Upstream) -> LoadReport | None:
-        """Return what an upstream has to do, None unanswered."""
+        """Query the load of an upstream; None if unanswered."""
 
     async def pulse(self, upstream: Upstream, seconds: float) -> PulseReading:
-        """Ask an upstream whether it is there; DEAD if its machine turns connections down."""
+        """Probe an upstream with a query; DEAD if its machine refuses connections."""
 
     async def reach(self, upstream: Upstream, seconds: float) -> Pulse:
-        """Return whether an upstream takes connections; nothing is sent, which it might run.
+        """Probe an upstream by connecting only: it might run a query as a request.
 
-        DEAD if its machine turns connections down, SILENT if one that it took ended at once: what
-        stands before an upstream may take connections for it.
+        DEAD if its machine refuses connections, SILENT if a connection is closed at once: a proxy
+        in front of the upstream may accept connections for it.
         """
 
     async def move(
         self, upstream: Upstream, request_id: str, path: LayerPath
     ) -> tuple[MoveResult, str]:
-        """Give a running request another path; the address at fault comes with PART_MISSING."""
+        """Move a running request to another path; return the missing stage's address, if any."""
--- a/deckcourse/gateway/node.py
+++ b/deckcourse/gateway/node.py
@@ -175,8 +175,8 @@
         self._crash_feed = Follower(
             self._peers.feed,
             CRASH_TABLE,
-            self._crash_book.take_all,
-            self._crash_book.take,
+            self._crash_book.apply_snapshot,
+            self._crash_book.apply_row,
             random,
             self._on_list_contact,
             process_factor=self._process_factor,
@@ -406,7 +406,7 @@
     def _on_limit_change(self, limit: RateLimit, source: str) -> None:
         """Apply a new, changed or ended rate limit."""
         self._upstreams.note_limited(limit.instance, limit.rate is not None)
-        self._rate_gate.note_change(limit, source)
+        self._rate_gate.on_limit_change(limit, source)
 
     def _on_row_gone(self, upstream: Upstream) -> None:
         """Treat the upstream of a deleted row as ended, unless it left or its row may be lapsed."""
--- a/deckcourse/gateway/quarantine_view.py
+++ b/deckcourse/gateway/quarantine_view.py
@@ -1,4 +1,4 @@
-"""The requests under which upstreams ended, as one process tells an operator of them."""
+"""The suspect requests of one process, as shown to operators."""
 
 import msgspec
 
@@ -16,9 +16,9 @@
 
 
 class QuarantineView(msgspec.Struct, frozen=True):
-    """One request, by its identity: how many ends in a chain, of whom, and its refusal.
+    """A suspect request, by its identity: its crash count, crashed upstreams and quarantine.
 
-    `refused_seconds` is for how long it is refused from now on, 0 where it may run.
+    `refused_seconds` is the remaining quarantine time, 0 if the request may run.
     """
 
     identity: str
@@ -28,30 +28,30 @@
 
 
 def quarantine_of(evidence: CrashEvidence, now: float) -> tuple[QuarantineView, ...]:
-    """Return what is known of each request, the one whose last end was latest at the end.
+    """Return the suspect requests, ordered by their last reported crash.
 
     Args:
-      evidence: what the process knows.
-      now: the moment on its clock.
+      evidence: the evidence of the process.
+      now: the current time on its clock.
     """
     views = []
     for identity in evidence.identities:
-        until = evidence.refused_until(identity)
+        until = evidence.quarantined_until(identity)
         seconds = 0.0 if until is None else round(until - now, 1)
-        ended = evidence.instances(identity)
-        views.append(QuarantineView(identity, evidence.ends(identity), ended, seconds))
+        crashed = evidence.crashed_instances(identity)
+        views.append(QuarantineView(identity, evidence.crash_count(identity), crashed, seconds))
     return tuple(views)
 
 
 def encode_quarantine(views: tuple[QuarantineView, ...]) -> bytes:
-    """Return a list as JSON."""
+    """Return a list of suspect requests as JSON."""
     return msgspec.json.encode(views)
 
 
 def decode_quarantine(data: bytes) -> tuple[QuarantineView, ...]:
-    """Return the list in an answer.
+    """Return the list of suspect requests in a response.
 
     Raises:
-      msgspec.MsgspecError: the answer is none.
+      msgspec.MsgspecError: the response is malformed.
     """
     return msgspec.json.decode(data, type=tuple[QuarantineView, ...])
--- a/deckcourse/gateway/rate_gate.py
+++ b/deckcourse/gateway/rate_gate.py
@@ -36,20 +36,20 @@
 
 __all__ = ["RateGate", "SendingToken"]
 
-# The margin exceeds the lifetime of a token, seconds.
+# Terms in seconds; the margin exceeds the lifetime of a token.
 ISSUER_LEASE = LeaseTerms("rate-limits/issuer", term=2.5, margin=0.3)
-# Bound on the limits stored in the lease row, which starting processes read.
+# Bound on the limits stored in the lease row, which processes read at startup.
 MAX_STORED_LIMITS = 256
 # Minimum interval between broadcasts of changed limits, seconds.
-NEWS_SECONDS = 0.2
+MIN_BROADCAST_INTERVAL_SECONDS = 0.2
 # Interval at which the issuer rebroadcasts all limits, since datagrams get lost, seconds.
-REFRESH_SECONDS = 2.0
+REFRESH_INTERVAL_SECONDS = 2.0
 # Time for which a process seeks the lease after a token request, seconds.
-SEEKING_SECONDS = 3.0
+SEEK_DURATION_SECONDS = 3.0
 # Polling interval while the lease isn't held, seconds.
-IDLE_SECONDS = 0.5
+IDLE_POLL_INTERVAL_SECONDS = 0.5
 # Retention of limits of unknown upstreams, seconds.
-UNKNOWN_SECONDS = 30.0
+UNKNOWN_LIMIT_RETENTION_SECONDS = 30.0
 
 _limits_decoder = msgspec.json.Decoder(tuple[RateLimit, ...])
 
@@ -59,12 +59,12 @@
 
     Args:
       instance: the upstream.
-      until: its deadline on trio's clock; infinity if the upstream had no limit.
+      expires_at: its deadline on trio's clock; infinity if the upstream had no limit.
     """
 
-    def __init__(self, instance: str, until: float) -> None:
+    def __init__(self, instance: str, expires_at: float) -> None:
         self._instance = instance
-        self._until = until
+        self._expires_at = expires_at
         self._spent = False
 
     @property
@@ -76,7 +76,7 @@
     def is_valid(self) -> bool:
         """Whether it is a rate limit token that is neither spent nor expired."""
         now = trio.current_time()
-        return not self._spent and self._until < float("inf") and now <= self._until
+        return not self._spent and self._expires_at < float("inf") and now <= self._expires_at
 
     def spend(self) -> None:
         """Mark the token as used."""
@@ -90,12 +90,12 @@
       limits: the limits in force.
       upstreams: the upstream table, which records throttled upstreams.
       table: the platform's store.
-      author: the name of this start of the process.
-      roster: the members.
+      author: the name of this incarnation of the process.
+      roster: the membership view.
       gossip: sends and receives datagrams.
       may_issue: returns whether this process may hold the lease; false during shutdown.
-      count: counts by name.
-      log: writes decisions.
+      count: increments a counter by name.
+      log: writes the decision log.
     """
 
     def __init__(
@@ -122,29 +122,29 @@
         self._epoch = 0
         self._client = TokenClient(roster, gossip, limits.merge, count)
         self._locks: dict[str, trio.Lock] = defaultdict(trio.Lock)
-        # Deadlines of denials of questions and orders.
-        self._not_admitted_until: dict[tuple[str, Purpose], float] = {}
+        # Until when queries and orders are denied.
+        self._denied_until: dict[tuple[str, Purpose], float] = {}
         self._seek_until = float("-inf")
-        self._changed: dict[str, str] = {}
-        self._wake = trio.Event()
-        self._seeking = trio.Event()
-        gossip.take_token_messages(self._on_message, self._greet)
+        self._changed_sources: dict[str, str] = {}
+        self._limits_changed = trio.Event()
+        self._seek_started = trio.Event()
+        gossip.take_token_messages(self._on_message, self._send_limits_to)
 
     @property
-    def issues(self) -> bool:
+    def is_issuer(self) -> bool:
         """Whether this process is the issuer."""
         return self._lease.held() and self._may_issue()
 
-    def note_change(self, limit: RateLimit, source: str) -> None:
-        """Schedule a changed limit for logging and, if learned from an answer, for broadcast.
+    def on_limit_change(self, limit: RateLimit, source: str) -> None:
+        """Schedule a changed limit for logging and, if learned from a response, for broadcast.
 
         Args:
           limit: the limit.
           source: "answer", "peer" or "gone".
         """
-        known = self._changed.get(limit.instance)
-        self._changed[limit.instance] = "answer" if known == "answer" else source
-        self._wake.set()
+        known = self._changed_sources.get(limit.instance)
+        self._changed_sources[limit.instance] = "answer" if known == "answer" else source
+        self._limits_changed.set()
 
     async def acquire(self, instance: str) -> SendingToken | None:
         """Return a token for a caller's request, None if denied.
@@ -158,16 +158,16 @@
             limit = self._limits.limit_of(instance)
             if limit is None or limit.rate is None:
                 return SendingToken(instance, float("inf"))
-            if self._upstreams.throttles.is_closed(instance):
+            if self._upstreams.throttles.is_throttled(instance):
                 return None
-            asked_at = trio.current_time()
+            requested_at = trio.current_time()
             grant = await self._grant(limit, Purpose.REQUEST)
         if grant.granted:
             self._count("token.granted")
-            return SendingToken(instance, asked_at + TOKEN_LIFETIME_SECONDS)
+            return SendingToken(instance, requested_at + TOKEN_LIFETIME_SECONDS)
         self._count("token.denied")
         if self._limits.rate_of(instance) is not None:
-            self._upstreams.throttles.close(instance, grant.wait, grant.retry_after)
+            self._upstreams.throttles.throttle(instance, grant.wait, grant.retry_after)
         return None
 
     def may_send(self, token: SendingToken) -> bool:
@@ -189,18 +189,18 @@
             await self._client.give_back(token.instance)
 
     async def admit(self, instance: str, purpose: Purpose) -> bool:
-        """Return whether a question or an order may be sent now; spends a token."""
+        """Return whether a query or an order may be sent now; spends a token."""
         limit = self._limits.limit_of(instance)
         if limit is None or limit.rate is None:
             return True
         now = trio.current_time()
         key = instance, purpose
-        if now < self._not_admitted_until.get(key, now):
+        if now < self._denied_until.get(key, now):
             return False
         grant = await self._grant(limit, purpose)
         if grant.granted:
             return trio.current_time() <= now + TOKEN_LIFETIME_SECONDS
-        self._not_admitted_until[key] = now + grant.wait
+        self._denied_until[key] = now + grant.wait
         return False
 
     async def _grant(self, limit: RateLimit, purpose: Purpose) -> Grant:
@@ -209,12 +209,12 @@
             return self._issue(limit, purpose)
         if self._client.should_issue:
             self._seek()
-        return await self._client.ask(limit, purpose)
+        return await self._client.request(limit, purpose)
 
     def _issue(self, limit: RateLimit, purpose: Purpose) -> Grant:
         if self._lease.epoch != self._epoch:
             self._epoch = self._lease.epoch
-            self._issuer.begin()
+            self._issuer.start_term()
         self._limits.merge(limit)
         rate = self._limits.rate_of(limit.instance)
         if rate is None:
@@ -222,10 +222,10 @@
         return self._issuer.issue(limit.instance, rate, trio.current_time(), purpose)
 
     def _seek(self) -> None:
-        """Start seeking the lease."""
+        """Seek the lease from now on for some time."""
         if trio.current_time() >= self._seek_until:
-            self._seeking.set()
-        self._seek_until = trio.current_time() + SEEKING_SECONDS
+            self._seek_started.set()
+        self._seek_until = trio.current_time() + SEEK_DURATION_SECONDS
 
     async def _on_message(self, data: bytes) -> None:
         message = decode_message(data)
@@ -239,11 +239,13 @@
             case TokenReturn(instance):
                 self._issuer.give_back(instance)
             case TokenRequest():
-                await self._answer(message)
+                await self._reply_to(message)
 
-    async def _greet(self, address: str) -> None:
-        """Send the limits in force to a process that has just started."""
-        for message in _news_of(self._limits.limits(), self._roster.own if self.issues else None):
+    async def _send_limits_to(self, address: str) -> None:
+        """Send the limits in force to a peer that has just started."""
+        for message in _limit_datagrams(
+            self._limits.limits(), self._roster.own if self.is_issuer else None
+        ):
             await self._gossip.send(address, message)
 
     async def _merge_news(self, limits: tuple[RateLimit, ...], issuer: Member | None) -> None:
@@ -255,16 +257,16 @@
         self._client.note_issuer(issuer)
         known = [self._limits.limit_of(each.instance) for each in limits]
         newer = tuple(
-            mine
-            for mine, told in zip(known, limits, strict=True)
-            if mine is not None and mine != told and mine.supersedes(told)
+            own
+            for own, received in zip(known, limits, strict=True)
+            if own is not None and own != received and own.supersedes(received)
         )
         if newer:
             await self._gossip.send(issuer.address, encode_message(LimitNews(newer)))
 
-    async def _answer(self, request: TokenRequest) -> None:
+    async def _reply_to(self, request: TokenRequest) -> None:
         issuer = self._client.issuer
-        if self.issues:
+        if self.is_issuer:
             grant = self._issue(request.limit, request.purpose)
             issuer = self._roster.own
         else:
@@ -279,20 +281,20 @@
         await self._gossip.send(request.sender, encode_message(reply))
 
     async def run(self) -> None:
-        """Maintain the lease while limits are in force, and broadcast them."""
+        """Maintain the lease while limits are in force, and broadcast the limits."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._read_stored)
             nursery.start_soon(self._broadcast_changes)
             nursery.start_soon(self._keep_lease)
 
     async def _read_stored(self) -> None:
-        """Read the limits in the lease row, as soon as the store answers."""
+        """Merge the limits in the lease row, as soon as the store is available."""
         while True:
             match await self._lease.look():
                 case Success(record):
                     self._merge_stored(record.attachment if record is not None else b"")
                     return
-            await trio.sleep(IDLE_SECONDS)
+            await trio.sleep(IDLE_POLL_INTERVAL_SECONDS)
 
     async def _keep_lease(self) -> None:
         refresh_at = float("-inf")
@@ -304,9 +306,9 @@
                 await self._lease.seek()
                 self._note_holder()
             if self._lease.held() and trio.current_time() >= refresh_at:
-                refresh_at = trio.current_time() + REFRESH_SECONDS
+                refresh_at = trio.current_time() + REFRESH_INTERVAL_SECONDS
                 await self._broadcast(self._limits.limits())
-            await self._rest()
+            await self._wait_for_next_round()
 
     def _is_seeking(self) -> bool:
         if not self._limits.limited:
@@ -324,35 +326,34 @@
         if holder and holder != self._roster.own.name:
             self._client.note_holder(holder)
 
-    async def _rest(self) -> None:
+    async def _wait_for_next_round(self) -> None:
         """Wait for the next renewal or the next attempt to get the lease."""
         if self._lease.held():
             await trio.sleep(self._lease.renewal_pause)
             return
-        with trio.move_on_after(IDLE_SECONDS):
+        with trio.move_on_after(IDLE_POLL_INTERVAL_SECONDS):
             if trio.current_time() < self._seek_until:
                 await trio.sleep_forever()
-            self._seeking = trio.Event()
-            await self._seeking.wait()
+            self._seek_started = trio.Event()
+            await self._seek_started.wait()
 
     def _prune(self) -> None:
         """Drop the state of upstreams that are gone."""
         self._limits.forget_unknown(
-            lambda instance: self._upstreams.last_known(instance) is not None, UNKNOWN_SECONDS
+            lambda instance: self._upstreams.last_known(instance) is not None,
+            UNKNOWN_LIMIT_RETENTION_SECONDS,
         )
         now = trio.current_time()
-        self._not_admitted_until = {
-            key: at for key, at in self._not_admitted_until.items() if at > now
-        }
+        self._denied_until = {key: at for key, at in self._denied_until.items() if at > now}
         for instance in [each for each in self._locks if self._limits.limit_of(each) is None]:
             if not self._locks[instance].locked():
                 del self._locks[instance]
 
     async def _broadcast_changes(self) -> None:
         while True:
-            await self._wake.wait()
-            self._wake = trio.Event()
-            changed, self._changed = self._changed, {}
+            await self._limits_changed.wait()
+            self._limits_changed = trio.Event()
+            changed, self._changed_sources = self._changed_sources, {}
             known = [self._limits.limit_of(instance) for instance in changed]
             for limit in known:
                 if limit is not None:
@@ -360,7 +361,7 @@
             await self._broadcast(
                 [each for each in known if each and changed[each.instance] == "answer"]
             )
-            await trio.sleep(NEWS_SECONDS)
+            await trio.sleep(MIN_BROADCAST_INTERVAL_SECONDS)
 
     def _log_limit(self, limit: RateLimit, source: str) -> None:
         self._count("upstream.limit")
@@ -373,7 +374,7 @@
         )
 
     async def _broadcast(self, limits: list[RateLimit]) -> None:
-        for message in _news_of(limits, self._roster.own if self.issues else None):
+        for message in _limit_datagrams(limits, self._roster.own if self.is_issuer else None):
             await self._gossip.broadcast(message)
 
     def _encoded_limits(self) -> bytes:
@@ -390,8 +391,8 @@
             self._limits.merge(each)
 
 
-def _news_of(limits: list[RateLimit], issuer: Member | None) -> Iterator[bytes]:
+def _limit_datagrams(limits: list[RateLimit], issuer: Member | None) -> Iterator[bytes]:
     """Yield the datagrams that carry some limits."""
     for first in range(0, len(limits), MAX_LIMITS_PER_MESSAGE):
-        some = tuple(limits[first : first + MAX_LIMITS_PER_MESSAGE])
-        yield encode_message(LimitNews(some, issuer))
+        batch = tuple(limits[first : first + MAX_LIMITS_PER_MESSAGE])
+        yield encode_message(LimitNews(batch, issuer))
--- a/deckcourse/gateway/rate_limits.py
+++ b/deckcourse/gateway/rate_limits.py
@@ -1,4 +1,4 @@
-"""Rate limits of upstreams, learned from their answers and from peers."""
+"""Rate limits of upstreams, learned from their responses and from peers."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 __all__ = ["RateLimitBook"]
 
-# Bound on tracked upstreams, far above the number of any site.
+# Bound on tracked upstreams, far above the number at any site.
 MAX_LIMITS = 4096
 
 
@@ -22,13 +22,13 @@
 
 
 class RateLimitBook:
-    """The current limits, by start of an upstream.
+    """The current limits, by incarnation of an upstream.
 
-    Answers may arrive out of order. An answer to a request sent after a limit was learned is newer
-    than the limit and replaces it. Any other answer can only tighten it.
+    Responses may arrive out of order. A response to a request that was sent after a limit was
+    learned is newer than the limit and replaces it. Any other response can only tighten it.
 
     Args:
-      clock: seconds, steady.
+      clock: a monotonic clock, seconds.
       on_change: called with each new, changed or ended limit and its source.
     """
 
@@ -59,25 +59,25 @@
         return [self._entries[instance].limit for instance in self._limited]
 
     def record(
-        self, instance: str, rate: float | None, sent_at: float, is_question: bool = False
+        self, instance: str, rate: float | None, sent_at: float, is_control: bool = False
     ) -> None:
-        """Apply an upstream's answer.
+        """Apply the limit in an upstream's response.
 
         Args:
           instance: the upstream.
-          rate: the limit in the answer, None for none.
-          sent_at: when its request was sent.
-          is_question: whether it answers a question or an order rather than a caller's request.
+          rate: the limit in the response, None for none.
+          sent_at: when the request was sent.
+          is_control: whether it responds to a query or an order rather than a caller's request.
         """
         entry = self._entries.get(instance)
         if entry is None:
             if rate is not None:
-                self._store(RateLimit(instance, 1, rate, is_question), "answer")
+                self._store(RateLimit(instance, 1, rate, is_control), "answer")
             return
         known = entry.limit
-        if rate is None and is_question and not known.on_questions:
+        if rate is None and is_control and not known.on_questions:
             return
-        on_questions = known.on_questions or is_question
+        on_questions = known.on_questions or is_control
         if rate == known.rate:
             if rate is not None and on_questions != known.on_questions:
                 self._store(replace(known, on_questions=True), "answer")
@@ -95,13 +95,13 @@
     def forget_unknown(self, is_known: Callable[[str], bool], seconds: float) -> None:
         """Drop limits of unknown upstreams that are older than `seconds`."""
         oldest = self._clock() - seconds
-        old = [name for name, each in self._entries.items() if each.learned_at < oldest]
-        for instance in old:
+        old_entries = [name for name, each in self._entries.items() if each.learned_at < oldest]
+        for instance in old_entries:
             if not is_known(instance):
                 self.forget(instance)
 
     def forget(self, instance: str) -> None:
-        """Drop the limit of a start that ended."""
+        """Drop the limit of an incarnation that ended."""
         entry = self._entries.pop(instance, None)
         if entry is not None and self._limited.pop(instance, None) is not None:
             self._on_change(replace(entry.limit, rate=None), "gone")
--- a/deckcourse/gateway/token_client.py
+++ b/deckcourse/gateway/token_client.py
@@ -20,31 +20,31 @@
 
 __all__ = ["NO_ISSUER", "TokenClient"]
 
-# Rendezvous key; the first ranked member seeks the issuer lease.
+# Key of the rendezvous hash; the member that ranks first seeks the issuer lease.
 ISSUER_KEY = "rate-limits"
-# Reply timeout, seconds, and the number of attempts.
-REPLY_SECONDS = 0.1
-TRIES = 2
-# Members tried for one token: a candidate and the issuer that it redirects to.
-REDIRECTS = 2
-# Time for which a member that timed out is skipped, seconds.
-UNREACHABLE_SECONDS = 1.0
+# Timeout of one token request, seconds, and the number of attempts.
+REPLY_TIMEOUT_SECONDS = 0.1
+MAX_ATTEMPTS = 2
+# Bound on the members asked for one token: a candidate, and the issuer that it names.
+MAX_TARGETS = 2
+# Time for which a member that timed out isn't asked, seconds.
+UNREACHABLE_COOLDOWN_SECONDS = 1.0
 # Backoff while there is no issuer, seconds.
-NO_ISSUER_SECONDS = 0.1
-# Retry-After for callers while there is no issuer, seconds.
-NO_ISSUER_RETRY_SECONDS = 0.5
+NO_ISSUER_BACKOFF_SECONDS = 0.1
+# Retry-After for rejected callers while there is no issuer, seconds.
+NO_ISSUER_RETRY_AFTER_SECONDS = 0.5
 
-NO_ISSUER = Grant(False, NO_ISSUER_SECONDS, NO_ISSUER_RETRY_SECONDS)
+NO_ISSUER = Grant(False, NO_ISSUER_BACKOFF_SECONDS, NO_ISSUER_RETRY_AFTER_SECONDS)
 
 
 class TokenClient:
     """Token requests of one process.
 
     Args:
-      roster: the live members.
+      roster: the membership view.
       gossip: sends datagrams.
       merge: merges a limit received from a peer.
-      count: counts by name.
+      count: increments a counter by name.
     """
 
     def __init__(
@@ -85,16 +85,16 @@
         """Record the issuer by name."""
         self._issuer = name
 
-    async def ask(self, limit: RateLimit, purpose: Purpose) -> Grant:
+    async def request(self, limit: RateLimit, purpose: Purpose) -> Grant:
         """Request a token; unanswered requests count as denied."""
-        asked: set[str] = set()
+        requested: set[str] = set()
         grant = NO_ISSUER
-        for _ in range(REDIRECTS):
+        for _ in range(MAX_TARGETS):
             target = self._target()
-            if target is None or target.name in {self._roster.own.name, *asked}:
+            if target is None or target.name in {self._roster.own.name, *requested}:
                 break
-            asked.add(target.name)
-            grant = await self._ask_member(target, limit, purpose)
+            requested.add(target.name)
+            grant = await self._request_from(target, limit, purpose)
             if grant.granted:
                 break
         else:
@@ -102,14 +102,14 @@
         await trio.lowlevel.checkpoint()
         return grant
 
-    async def _ask_member(self, target: Member, limit: RateLimit, purpose: Purpose) -> Grant:
-        for _ in range(TRIES):
-            reply = await self._ask_once(target, limit, purpose)
+    async def _request_from(self, target: Member, limit: RateLimit, purpose: Purpose) -> Grant:
+        for _ in range(MAX_ATTEMPTS):
+            reply = await self._send_request(target, limit, purpose)
             if reply is not None:
                 return self._on_reply(reply, target)
         self._count("token.unanswered")
-        self._forget_unreachable()
-        self._unreachable_until[target.name] = trio.current_time() + UNREACHABLE_SECONDS
+        self._prune_unreachable()
+        self._unreachable_until[target.name] = trio.current_time() + UNREACHABLE_COOLDOWN_SECONDS
         if self._issuer == target.name:
             self._issuer = ""
         return NO_ISSUER
@@ -122,14 +122,14 @@
 
     def on_reply(self, reply: TokenReply) -> None:
         """Deliver a reply to the pending request, if any."""
-        waiting = self._replies.get(reply.number)
-        if waiting is not None:
+        pending = self._replies.get(reply.number)
+        if pending is not None:
             try:
-                waiting.send_nowait(reply)
+                pending.send_nowait(reply)
             except trio.WouldBlock:
                 return  # Duplicate datagram.
 
-    async def _ask_once(
+    async def _send_request(
         self, target: Member, limit: RateLimit, purpose: Purpose
     ) -> TokenReply | None:
         self._number += 1
@@ -140,7 +140,7 @@
         request = TokenRequest(number, own, limit, purpose)
         try:
             await self._gossip.send(target.address, encode_message(request))
-            with trio.move_on_after(REPLY_SECONDS):
+            with trio.move_on_after(REPLY_TIMEOUT_SECONDS):
                 return await receive.receive()
         finally:
             del self._replies[number]
@@ -160,7 +160,7 @@
             return issuer
         return next(iter(self._ranked()), None)
 
-    def _forget_unreachable(self) -> None:
+    def _prune_unreachable(self) -> None:
         now = trio.current_time()
         self._unreachable_until = {
             name: at for name, at in self._unreachable_until.items() if at > now
--- a/deckcourse/gateway/token_issuer.py
+++ b/deckcourse/gateway/token_issuer.py
@@ -13,21 +13,21 @@
 
 # Lifetime of a token, counted from its request, seconds.
 TOKEN_LIFETIME_SECONDS = 0.2
-# Part of a limit that is issued: tokens issued just before a window may be spent within it.
+# Share of a limit that is issued: tokens issued just before a window may be spent within it.
 ISSUED_SHARE = 0.95
 # Minimum issue rate, tokens a second, so that the end of a limit of zero is detected.
-MIN_RATE = 0.25
-# Throttled processes that retry for each token: most have no request pending by then.
-ASKS_PER_TOKEN = 4.0
-# Upper bound on the wait in a denial, seconds.
-LONGEST_WAIT_SECONDS = 4.0
-# Bound on token buckets, far above the number of upstreams of any site.
+MIN_ISSUE_RATE = 0.25
+# Retry slots for each token: most throttled processes have no request pending when theirs comes.
+RETRIES_PER_TOKEN = 4.0
+# Maximum wait in a denial, seconds.
+MAX_WAIT_SECONDS = 4.0
+# Bound on token buckets, far above the number of upstreams at any site.
 MAX_BUCKETS = 4096
 
 
 @dataclass(frozen=True)
 class Grant:
-    """The answer to a token request.
+    """The reply to a token request.
 
     Attributes:
       granted: whether a token was issued.
@@ -48,7 +48,7 @@
         self._retry_slots = _Slots()
         self._return_slots = _Slots()
 
-    def begin(self) -> None:
+    def start_term(self) -> None:
         """Start a new lease term."""
         self._buckets.clear()
         self._retry_slots = _Slots()
@@ -63,14 +63,14 @@
           now: the current time, seconds.
           purpose: the kind of message.
         """
-        rate = max(MIN_RATE, ISSUED_SHARE * limit)
+        rate = max(MIN_ISSUE_RATE, ISSUED_SHARE * limit)
         bucket = self._bucket(instance, rate, now)
         if bucket.take(now, purpose):
             return Grant(True)
         if purpose is not Purpose.REQUEST:
-            return Grant(False, min(LONGEST_WAIT_SECONDS, bucket.wait(now, purpose)))
+            return Grant(False, min(MAX_WAIT_SECONDS, bucket.wait(now, purpose)))
         earliest = now + bucket.wait(now, purpose)
-        retry_at = self._retry_slots.next(instance, earliest, 1.0 / (ASKS_PER_TOKEN * rate), now)
+        retry_at = self._retry_slots.next(instance, earliest, 1.0 / (RETRIES_PER_TOKEN * rate), now)
         return_at = self._return_slots.next(instance, earliest, 1.0 / rate, now)
         return Grant(False, retry_at - now, return_at - now)
 
@@ -108,5 +108,5 @@
         while len(self._last) >= MAX_BUCKETS:
             self._last.pop(next(iter(self._last)))
         slot = max(earliest, self._last.get(instance, 0.0) + step)
-        self._last[instance] = min(slot, now + LONGEST_WAIT_SECONDS)
+        self._last[instance] = min(slot, now + MAX_WAIT_SECONDS)
         return self._last[instance]
--- a/deckcourse/gateway/upstreams.py
+++ b/deckcourse/gateway/upstreams.py
@@ -172,11 +172,11 @@
 
         It isn't suspected: it is alive, and its layers count as held.
         """
-        self._backoffs.note(self._name_of(instance), seconds)
+        self._backoffs.extend(self._name_of(instance), seconds)
 
     def backoff_until(self, instance: str) -> float | None:
         """Return when an upstream's backoff ends, None if it isn't backing off."""
-        return self._backoffs.until(self._name_of(instance))
+        return self._backoffs.deadline(self._name_of(instance))
 
     @property
     def throttles(self) -> Throttles:
@@ -186,15 +186,15 @@
     def note_limited(self, instance: str, limited: bool) -> None:
         """Record whether an upstream is rate limited."""
         if limited:
-            self._throttles.begin(instance)
+            self._throttles.mark_limited(instance)
             self._next_expiry = min(self._next_expiry, self._throttles.next_expiry)
         else:
-            self._note_change(instance, self._throttles.end(instance))
+            self._note_change(instance, self._throttles.clear_limit(instance))
 
     def backing_off(self) -> frozenset[str]:
         """Return the upstreams that back off or are throttled; they still count as usable."""
         instances = [self._instance_by_name.get(name, name) for name in self._backoffs.names()]
-        return frozenset([*instances, *self._throttles.closed()])
+        return frozenset([*instances, *self._throttles.throttled()])
 
     def accepts(self, instance: str) -> bool:
         """Return whether an upstream is neither leaving nor backing off."""
@@ -204,7 +204,7 @@
 
     def may_begin(self, instance: str) -> bool:
         """Return whether an upstream accepts requests and isn't throttled."""
-        return self.accepts(instance) and not self._throttles.is_closed(instance)
+        return self.accepts(instance) and not self._throttles.is_throttled(instance)
 
     def accepts_at(self, service: str) -> float | None:
         """Return when the first upstream of a service accepts requests again, on the clock.
@@ -223,7 +223,7 @@
         return None if None in ends else min(ends, default=None)
 
     def _accepts_again_at(self, instance: str) -> float | None:
-        ends = (self.backoff_until(instance), self._throttles.returns_at(instance))
+        ends = (self.backoff_until(instance), self._throttles.retry_at(instance))
         return max((each for each in ends if each is not None), default=None)
 
     def _name_of(self, instance: str) -> str:
--- a/features/mutants_crashes.py
+++ b/features/mutants_crashes.py
@@ -31,19 +31,19 @@
 
 
 def what_ran_well_stays_under_suspicion():
-    CrashEvidence.note_ran = lambda self, identity: False
+    CrashEvidence.record_success = lambda self, identity: False
 
 
 def ends_at_the_same_moment_add_up():
-    usual = CrashEvidence.note
+    usual = CrashEvidence.record
 
-    def note(self, crash):
-        known = self.instances(crash.identity)
+    def record(self, crash):
+        known = self.crashed_instances(crash.identity)
         if crash.instance in known:
             return False
         return usual(self, Crash(crash.identity, crash.instance, len(known)))
 
-    CrashEvidence.note = note
+    CrashEvidence.record = record
 
 
 def plain_upstreams_are_asked_questions():
@@ -56,18 +56,18 @@
 def convicted_requests_are_tried_by_all():
     usual = CrashEvidence.__init__
     CrashEvidence.__init__ = lambda self, clock, spread=1.0: usual(self, clock, 1.0)
-    CrashWatch._is_tried = lambda self, identity: False
+    CrashWatch._is_in_trial = lambda self, identity: False
 
 
 def what_was_cleared_comes_back():
-    CrashEvidence.is_outdated = lambda self, identity: False
+    CrashEvidence.was_just_cleared = lambda self, identity: False
 
 
 def runs_after_an_end_count():
     def note_ended(self, instance):
-        doubted, _ = self._doubted.pop(instance, ([], 0.0))
-        for broken in doubted:
-            self._found(broken)
+        unresolved, _ = self._unresolved.pop(instance, ([], 0.0))
+        for broken in unresolved:
+            self._record_crash(broken)
 
     CrashWatch.note_ended = note_ended
 
--- a/features/mutants_notices.py
+++ b/features/mutants_notices.py
@@ -18,10 +18,10 @@
 
 
 def asked_time_can_be_shortened():
-    def note(self, name, seconds):
-        self._until[name] = self._clock() + seconds
+    def extend(self, name, seconds):
+        self._deadlines[name] = self._clock() + seconds
 
-    Backoffs.note = note
+    Backoffs.extend = extend
 
 
 def no_look_before_a_request_is_sent():
--- a/features/mutants_rates.py
+++ b/features/mutants_rates.py
@@ -41,8 +41,8 @@
 def any_answer_ends_a_limit():
     record = RateLimitBook.record
 
-    def eager(self, instance, rate, sent_at, is_question=False):
-        record(self, instance, rate, float("inf"), is_question)
+    def eager(self, instance, rate, sent_at, is_control=False):
+        record(self, instance, rate, float("inf"), is_control)
 
     RateLimitBook.record = eager
 
--- a/features/steps/crash_evidence_steps.py
+++ b/features/steps/crash_evidence_steps.py
@@ -17,7 +17,7 @@
 class SilentCrashCheck:
     """Reports every upstream as silent."""
 
-    async def pulse(self, upstream, has_layers):
+    async def probe(self, upstream, has_layers):
         return Pulse.SILENT
 
 
@@ -97,7 +97,7 @@
             await trio.sleep(seconds)
             watch.note_ended(UPSTREAM.instance)
             nursery.cancel_scope.cancel()
-        context.ended_under = {each for each, _, _ in context.runs if evidence.ends(each)}
+        context.ended_under = {each for each, _, _ in context.runs if evidence.crash_count(each)}
 
     trio.run(story, clock=MockClock(autojump_threshold=0))
 
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -112,8 +112,11 @@
 def known(crashes):
     evidence = CrashEvidence(lambda: 5.0)
     for each in crashes:
-        evidence.note(each)
-    return {each: (evidence.ends(each), set(evidence.instances(each))) for each in (ONE, OTHER)}
+        evidence.record(each)
+    return {
+        each: (evidence.crash_count(each), set(evidence.crashed_instances(each)))
+        for each in (ONE, OTHER)
+    }
 
 
 @then("told in any order, any number of times, ends count the same")
@@ -133,15 +136,15 @@
     now = [100.0]
     evidence = CrashEvidence(lambda: now[0])
     for number in range(3):
-        evidence.note(Crash(ONE, f"i-{number}", number))
-    assert evidence.refused_until(ONE) is not None
-    assert evidence.note_ran(ONE) and evidence.refused_until(ONE) is None
-    assert evidence.is_outdated(ONE) and not evidence.is_outdated(OTHER)
+        evidence.record(Crash(ONE, f"i-{number}", number))
+    assert evidence.quarantined_until(ONE) is not None
+    assert evidence.record_success(ONE) and evidence.quarantined_until(ONE) is None
+    assert evidence.was_just_cleared(ONE) and not evidence.was_just_cleared(OTHER)
     now[0] = 105.0
-    assert not evidence.is_outdated(ONE)
-    assert evidence.is_disproved(ONE) and not evidence.is_disproved(OTHER)
+    assert not evidence.was_just_cleared(ONE)
+    assert evidence.succeeded_recently(ONE) and not evidence.succeeded_recently(OTHER)
     now[0] = 111.0
-    assert not evidence.is_disproved(ONE)
+    assert not evidence.succeeded_recently(ONE)
 
 
 @then("ends told with what was known when their runs were sent count so")
@@ -150,8 +153,8 @@
         evidence = CrashEvidence(lambda: 5.0)
         for told in row["told"].split(", "):
             instance, known_ends = told.split()
-            evidence.note(Crash(ONE, instance, int(known_ends)))
-        assert evidence.ends(ONE) == int(row["ends"]), (row, evidence.ends(ONE))
+            evidence.record(Crash(ONE, instance, int(known_ends)))
+        assert evidence.crash_count(ONE) == int(row["ends"]), (row, evidence.crash_count(ONE))
 
 
 @when("a row of ends {what}")
--- a/features/token_world.py
+++ b/features/token_world.py
@@ -59,7 +59,7 @@
 
     def note_limit(self, limit, source):
         self.upstreams.note_limited(limit.instance, limit.rate is not None)
-        self.gate.note_change(limit, source)
+        self.gate.on_limit_change(limit, source)
 
     async def run(self):
         with trio.CancelScope() as self.scope:
@@ -73,12 +73,12 @@
 
     @property
     def issues(self):
-        return self.gate.issues
+        return self.gate.is_issuer
 
     async def serve(self):
         """Serve one caller; return when it may come back, None where its request was sent."""
         world = self.world
-        if self.upstreams.throttles.is_closed(UPSTREAM):
+        if self.upstreams.throttles.is_throttled(UPSTREAM):
             return self.returns_at()
         token = await self.gate.acquire(UPSTREAM)
         if token is None:
