--- a/deckcourse/gateway/rate_gate.py
+++ b/deckcourse/gateway/rate_gate.py
@@ -233,7 +233,7 @@
             case None:
                 self._count("malformed.token-message")
             case LimitNews(limits, issuer):
-                await self._merge_news(limits, issuer)
+                await self._merge_peer_limits(limits, issuer)
             case TokenReply():
                 self._client.on_reply(message)
             case TokenReturn(instance):
@@ -248,7 +248,7 @@
         ):
             await self._gossip.send(address, message)
 
-    async def _merge_news(self, limits: tuple[RateLimit, ...], issuer: Member | None) -> None:
+    async def _merge_peer_limits(self, limits: tuple[RateLimit, ...], issuer: Member | None) -> None:
         """Merge limits from a peer; send newer ones back to the issuer."""
         for each in limits:
             self._limits.merge(each)
