--- a/deckcourse/gateway/rate_gate.py
+++ b/deckcourse/gateway/rate_gate.py
@@ -248,7 +248,9 @@
         ):
             await self._gossip.send(address, message)
 
-    async def _merge_peer_limits(self, limits: tuple[RateLimit, ...], issuer: Member | None) -> None:
+    async def _merge_peer_limits(
+        self, limits: tuple[RateLimit, ...], issuer: Member | None
+    ) -> None:
         """Merge limits from a peer; send newer ones back to the issuer."""
         for each in limits:
             self._limits.merge(each)
--- a/features/asked_backoff.feature
+++ b/features/asked_backoff.feature
@@ -10,11 +10,11 @@
   # Where no other path was left, 38 of 40 requests in two seconds reached an upstream that asked for 3.
 
   Scenario Outline: Callers who keep coming are served elsewhere: <route>
-    Given upstreams of which the first one turns requests away and asks for 3
-    When a caller asks for <route> each 0.05 seconds for 5 seconds
-    Then the first one got no request in the time it had asked for
+    Given upstreams of which the first one refuses requests with Retry-After 3
+    When a caller asks for <route> every 0.05 seconds for 5 seconds
+    Then the first one got no request during its backoff
     And every caller was served
-    And the first one got requests again after that time
+    And the first one got requests again after its backoff
 
     Examples:
       | route  |
@@ -23,10 +23,10 @@
       | again  |
 
   Scenario Outline: Where all asked for time, callers are told at once when the first one's is over: <route>
-    Given upstreams that all turn requests away, the first one asks for 3 and the others for 2
-    When a caller asks for <route> each 0.05 seconds for 2 seconds
-    Then no upstream got a request in the time it had asked for
-    And every later caller was refused within 0.01 seconds, to come back when the first time is over
+    Given upstreams that all refuse requests, the first one with Retry-After 3 and the others with 2
+    When a caller asks for <route> every 0.05 seconds for 2 seconds
+    Then no upstream got a request during its backoff
+    And every later caller was refused within 0.01 seconds, to retry when the first backoff is over
 
     Examples:
       | route  |
@@ -37,14 +37,14 @@
   # One upstream asked for 3 s, the other one only refused. A caller whom the other one had turned away
   # was told the end of the first one's time, as if no other could be free earlier: 3.0 s in place of 1.0.
   Scenario: A time that one asked for says nothing of another that only refused
-    Given upstreams that all turn requests away, the first one asks for 3 and the others for nothing
-    When a caller asks for stream each 0.05 seconds for 1 seconds
-    Then the first caller that both turned away may come back within 1.1 seconds
+    Given upstreams that all refuse requests, the first one with Retry-After 3 and the others without it
+    When a caller asks for stream every 0.05 seconds for 1 seconds
+    Then the first caller that both refused may retry within 1.1 seconds
 
   Scenario Outline: What an upstream writes is <what>: <asks>
-    Given upstreams of which the first one turns requests away and asks for <asks>
-    When a caller asks for stream each 0.05 seconds for 2 seconds
-    Then the first one got its next request after <seconds> seconds, <malformed> malformed answers
+    Given upstreams of which the first one refuses requests with Retry-After <asks>
+    When a caller asks for stream every 0.05 seconds for 2 seconds
+    Then the first one got its next request after <seconds> seconds, <malformed> malformed responses
 
     Examples:
       | what                 | asks                          | seconds      | malformed |
@@ -63,10 +63,10 @@
       | told well and badly  | soon / 0.9                    | 0.9          | with      |
 
   Scenario Outline: The time holds though <what>
-    Given upstreams of which the first one turns requests away and asks for 3
-    When the first one has asked for it, and <what>
-    And a caller asks for <route> each 0.05 seconds for 4 seconds
-    Then the first one got no request in the time it had asked for
+    Given upstreams of which the first one refuses requests with Retry-After 3
+    When the first one has sent it, and <what>
+    And a caller asks for <route> every 0.05 seconds for 4 seconds
+    Then the first one got no request during its backoff
 
     Examples:
       | what                                   | route  |
@@ -83,15 +83,15 @@
       | it starts again under its id           | once   |
 
   Scenario: A request that was chosen before the answer came is not sent after it
-    Given upstreams of which the first one turns requests away and asks for 3
+    Given upstreams of which the first one refuses requests with Retry-After 3
     When a connection to the first one opens after 0.8 seconds, and another is refused meanwhile
-    Then the first one got no request in the time it had asked for
+    Then the first one got no request during its backoff
     And every caller was served
 
   Scenario Outline: The word counts in whatever answer it comes: <answer>
-    Given upstreams of which the first one asks for 3 in the answer to <answer>
-    When a caller asks for stream each 0.05 seconds for 2 seconds
-    Then the first one got no request in the time it had asked for
+    Given upstreams of which the first one sends Retry-After 3 in the response to <answer>
+    When a caller asks for stream every 0.05 seconds for 2 seconds
+    Then the first one got no request during its backoff
 
     Examples:
       | answer                   |
@@ -99,27 +99,27 @@
       | an order                 |
 
   Scenario: Streams under way at an upstream that asks for time go on there
-    Given upstreams of which the first one will turn requests away and ask for 3
+    Given upstreams of which the first one will refuse requests with Retry-After 3
     When it does so in the middle of a stream
     Then the caller got every event once
     And one upstream ran the stream
 
   Scenario: A stream that broke off is not resumed at an upstream that asked for time
-    Given upstreams of which the first one will turn requests away and ask for 3
+    Given upstreams of which the first one will refuse requests with Retry-After 3
     When its stream breaks off after it did so
     Then the caller got every event once, with no pause over 0.5 seconds
-    And the first one got no request in the time it had asked for
+    And the first one got no request during its backoff
 
   Scenario: It is the one that answers who asked, not the one at fault
-    Given upstreams of which the first one turns requests away for x2 and asks for 3
-    When a caller asks for stream each 0.05 seconds for 3 seconds
-    Then the first one got no request in the time it had asked for
+    Given upstreams of which the first one refuses requests for x2's sake, with Retry-After 3
+    When a caller asks for stream every 0.05 seconds for 3 seconds
+    Then the first one got no request during its backoff
     And every caller was served
 
   Scenario: From a refused caller's id to those who asked for time
-    Given upstreams that all turn requests away, the first one asks for 3 and the others for 2
-    When a caller asks for stream each 0.05 seconds for 1 seconds
-    Then the explanation of a later refusal tells who asked and for how long
+    Given upstreams that all refuse requests, the first one with Retry-After 3 and the others with 2
+    When a caller asks for stream every 0.05 seconds for 1 seconds
+    Then the explanation of a later refusal names the upstreams and their backoffs
 
   Scenario: Whatever stands in these headers, reading them never fails and asks for a bounded time
-    Then any headers of an answer are read
+    Then any response headers are parsed
--- a/features/crash_evidence.feature
+++ b/features/crash_evidence.feature
@@ -2,10 +2,10 @@
 
   # Guards against refusing requests that were sent to an upstream after it had ended.
   Scenario Outline: Runs at an upstream that answers no check until its row is removed: <case>
-    Given runs <runs> at an upstream, each from its start to its break in seconds
+    Given attempts <runs> at an upstream, each from its start to its break in seconds
     And the upstream answered other requests at <answers> seconds
     When the row of the upstream is removed after 3 seconds
-    Then the upstream ended under <ended>
+    Then the crash is attributed to <ended>
 
     Examples:
       | case                               | runs                          | answers | ended |
--- a/features/crashing_requests.feature
+++ b/features/crashing_requests.feature
@@ -12,10 +12,10 @@
   # in the log they are one request (`crash identity=f2f515e9 ends=1`, `ends=2`), refused from then on.
 
   Scenario Outline: However often and wherever it comes, three ends are enough: <route>, <circumstance>
-    Given three processes before upstreams that some requests crash
-    When a deadly request for <route> comes each 0.7 seconds for 30 seconds, while <circumstance>
-    Then it reached upstreams no more than 3 times later than 3 seconds after the third end
-    And it ended no more than <most> upstreams
+    Given three gateway processes and upstreams that some requests crash
+    When a crashing request for <route> is sent every 0.7 seconds for 30 seconds, while <circumstance>
+    Then it reached upstreams at most 3 times later than 3 seconds after the third crash
+    And it crashed at most <most> upstreams
 
     Examples:
       | route   | circumstance                              | most |
@@ -33,11 +33,11 @@
       | stream  | no row goes                               | 3    |
 
   Scenario Outline: Callers of other requests are served beside it: <route>
-    Given three processes before upstreams that some requests crash
-    When a deadly request for <route> comes each 0.7 seconds for 30 seconds, among others
-    Then no other caller was told that its request ends upstreams
-    And every other caller that came 10 seconds after the first end was served
-    And nothing reached an upstream that no caller sent
+    Given three gateway processes and upstreams that some requests crash
+    When a crashing request for <route> is sent every 0.7 seconds for 30 seconds, among others
+    Then no other caller was refused because of crashes
+    And every other caller that came 10 seconds after the first crash was served
+    And upstreams received only requests that callers sent
 
     Examples:
       | route  |
@@ -47,14 +47,14 @@
   # A plain upstream has no questions that it answers: what it is sent it runs. One whose connection had
   # broken was asked whether it was there as one of layers is, and ran the question.
   Scenario: A plain upstream whose answer broke off is asked nothing
-    Given three processes before upstreams that some requests crash
-    When the plain upstreams break off every answer and go on
-    Then nothing reached an upstream that no caller sent
+    Given three gateway processes and upstreams that some requests crash
+    When the plain upstreams break off every response and keep running
+    Then upstreams received only requests that callers sent
 
   Scenario Outline: Its caller is told at once, and why: <route>
-    Given three processes before upstreams that some requests crash
-    When a deadly request for <route> comes each 0.7 seconds for 25 seconds, while all is well
-    Then later callers of it were refused within 0.01 seconds, as one that ends upstreams
+    Given three gateway processes and upstreams that some requests crash
+    When a crashing request for <route> is sent every 0.7 seconds for 25 seconds, while all is well
+    Then its later callers were refused within 0.01 seconds, because it crashes upstreams
 
     Examples:
       | route   |
@@ -67,10 +67,10 @@
   # under runs of it, two ends counted, though no run was sent after the first of them was known: all
   # of its callers were refused for a minute. An end counts on from those known when its run was sent.
   Scenario Outline: A request that ends no upstreams isn't refused: <what>
-    Given three processes before upstreams that some requests crash
+    Given three gateway processes and upstreams that some requests crash
     When <what>
-    Then no other caller was told that its request ends upstreams
-    And every other caller that came 6 seconds after the first end was served
+    Then no other caller was refused because of crashes
+    And every other caller that came 6 seconds after the first crash was served
 
     Examples:
       | what                                                                    |
@@ -80,18 +80,18 @@
       | another account sends what is deadly from the first one, and to nobody  |
 
   Scenario: An operator lists what is refused, and releases it
-    Given three processes before upstreams that some requests crash
-    When a deadly request was stopped, its fault is mended, and an operator releases it
-    Then every process listed it with 2 ends before
+    Given three gateway processes and upstreams that some requests crash
+    When a crashing request is quarantined, its fault is fixed, and an operator releases it
+    Then every process listed it with 2 crashes before
     And it is served at every process within 1 second after
 
   Scenario: What was convicted is tried again once, by one process
-    Given three processes before upstreams that some requests crash
-    When a deadly request comes to all processes at once, each second for 40 seconds
-    Then it ended 3 upstreams
+    Given three gateway processes and upstreams that some requests crash
+    When a crashing request is sent to all processes at once, every second for 40 seconds
+    Then it crashed 3 upstreams
 
   Scenario: For how long a request is refused
-    Then a request is refused for so long
+    Then a request is quarantined for this time
       | ends | suspects | others convicted | seconds |
       | 0    | 1        | no               | 0       |
       | 0    | 1        | yes              | 0       |
@@ -105,11 +105,11 @@
       | 9    | 1        | yes              | forever |
 
   Scenario: In whatever order and however often ends are told, they count the same
-    Then told in any order, any number of times, ends count the same
-    And what runs well is cleared, and what is told of it late counts for nothing
+    Then crashes reported in any order, any number of times, give the same count
+    And a request that succeeds is cleared, and late reports about it are ignored
 
   Scenario: Ends of runs that were under way together count once
-    Then ends told with what was known when their runs were sent count so
+    Then crashes reported with the count known at the start of the attempt give these counts
       | told               | ends |
       | a 0                | 1    |
       | a 0, b 0, c 0      | 1    |
@@ -120,9 +120,9 @@
       | a 0, b 1, c 1, d 2 | 3    |
 
   Scenario Outline: A row that <what> tells of no end
-    Given three processes before upstreams that some requests crash
-    When a row of ends <what>
-    Then no process takes anything for ended, and all go on
+    Given three gateway processes and upstreams that some requests crash
+    When a row of the crash table <what>
+    Then no process records a crash, and all keep serving callers
 
     Examples:
       | what                  |
--- a/features/rate_limits.feature
+++ b/features/rate_limits.feature
@@ -10,10 +10,10 @@
   #   sendings in 4 s 82, allowed 12.2
 
   Scenario Outline: Callers are served elsewhere: <route>
-    Given 7 processes, and a first upstream that will name a limit of 2.3 a second
+    Given 7 processes, and a first upstream that will announce a limit of 2.3 a second
     When callers keep asking all processes for <route>
-    Then no upstream got more than it takes of all of them
-    And every caller of theirs was served
+    Then no upstream got more requests than its rate limit allows
+    And every caller of the processes was served
 
     Examples:
       | route  |
@@ -22,11 +22,11 @@
       | again  |
 
   Scenario Outline: Where no other is left, callers are refused at once: <route>, <rate> a second
-    Given 7 processes, and upstreams that will all name a limit of <rate> a second
+    Given 7 processes, and upstreams that will all announce a limit of <rate> a second
     When callers keep asking all processes for <route>
-    Then no upstream got more than it takes of all of them
-    And of what they take at least 0.85 was used
-    And every other caller was refused at once, with a moment at which a request is taken again
+    Then no upstream got more requests than its rate limit allows
+    And at least 0.85 of the allowed rate was used
+    And every other caller was refused at once, with the time at which a token is free
 
     Examples:
       | route  | rate |
@@ -36,15 +36,15 @@
       | again  | 8    |
 
   Scenario: One process has half of the callers
-    Given 7 processes, and upstreams that will all name a limit of 2.3 a second
-    When callers keep asking for stream, half of them one process
-    Then no upstream got more than it takes of all of them
-    And of what they take at least 0.85 was used
+    Given 7 processes, and upstreams that will all announce a limit of 2.3 a second
+    When callers keep asking for stream, half of them at one process
+    Then no upstream got more requests than its rate limit allows
+    And at least 0.85 of the allowed rate was used
 
   Scenario Outline: The limit is kept while <what>: <route>
-    Given 7 processes, and a first upstream that will name a limit of 2.3 a second
+    Given 7 processes, and a first upstream that will announce a limit of 2.3 a second
     When callers keep asking for <route> while <what>
-    Then no upstream got more than it takes of all of them
+    Then no upstream got more requests than its rate limit allows
 
     Examples:
       | what                                       | route  |
@@ -63,30 +63,30 @@
   # A third of what reached the upstream were questions: about its load, and about streams that stood
   # still, five in a row by each process.
   Scenario: Questions about streams that stand still are a part of what it takes
-    Given 7 processes, and a first upstream that will name a limit of 2.3 a second
+    Given 7 processes, and a first upstream that will announce a limit of 2.3 a second
     When callers keep asking for stream while an upstream behind it holds streams up
-    Then no upstream got more than it takes of all of them
-    And it was asked about them
-    And it is not taken for lost
+    Then no upstream got more requests than its rate limit allows
+    And it was queried about them
+    And it is not recorded as lost
 
   Scenario: What can't be asked for want of a token is not taken for lost when its row lapses
-    Given 7 processes, and a first upstream that will name a limit of 0 a second
+    Given 7 processes, and a first upstream that will announce a limit of 0 a second
     When callers keep asking for stream while the store comes back without its row
-    Then no upstream got more than it takes of all of them
-    And it is not taken for lost
+    Then no upstream got more requests than its rate limit allows
+    And it is not recorded as lost
 
   Scenario: Where the limit ends, load comes back
-    Given 7 processes, and a first upstream that will name a limit of 0 a second
+    Given 7 processes, and a first upstream that will announce a limit of 0 a second
     When callers keep asking for stream while the limit ends after 6 seconds
-    Then the first upstream gets a part of all requests again
+    Then the first upstream gets a share of all requests again
 
   # Every upstream that began paths named 2.3 a second for a whole day: 0.39 of all requests were
   # refused, 0.51 served, while the other upstreams stood idle behind them.
   Scenario: Where a limit lasts, another upstream begins paths as well
-    Given 3 processes, and upstreams that will all name a limit of 2.3 a second, and spare ones
+    Given 3 processes, and upstreams that will all announce a limit of 2.3 a second, and spare ones
     When callers keep asking all processes for stream
-    Then no upstream got more than it takes of all of them
-    And others began paths between 6 and 12 seconds after it, by at most 6 orders
+    Then no upstream got more requests than its rate limit allows
+    And other upstreams began paths 6 to 12 seconds after the limit, by at most 6 orders
     And 0.9 of the callers were served at the end
 
   # An upstream that holds no first layers gets questions and orders alone. It had named a limit, and
@@ -95,9 +95,9 @@
   #   391.404 e2 upstream-limit rate=0.0 version=2 source=answer
   #   398.538 e2 plan lb3.0 7-8 (restores 7-8)   399.880 e1 plan lb3.0 7-8 (restores 7-8)
   Scenario Outline: An upstream that names <rate> a second is given layers that were lost
-    Given 3 processes, and upstreams that will all name a limit of <rate> a second, and spare ones
+    Given 3 processes, and upstreams that will all announce a limit of <rate> a second, and spare ones
     When callers keep asking for stream while a part is lost for good
-    Then no upstream got more than it takes of all of them
+    Then no upstream got more requests than its rate limit allows
     And the lost layers were ordered from others within <seconds> seconds
 
     Examples:
--- a/features/rate_sharing.feature
+++ b/features/rate_sharing.feature
@@ -1,9 +1,9 @@
 Feature: Many processes share the rate that one upstream takes
 
   Scenario Outline: While callers wait, no more than the rate and 3 in 4 seconds, and 0.85 of it used: <case>
-    Given <count> processes before an upstream that takes <rate> a second, <lost> of datagrams lost
+    Given <count> processes before an upstream that accepts <rate> a second, <lost> of datagrams lost
     When callers come <demand> a second, <how>
-    Then no 4 seconds had more sendings than the rate and 3
+    Then no 4 seconds had more requests than the rate allows plus 3
     And at least 0.85 of the rate was used
 
     Examples:
@@ -20,10 +20,10 @@
       | tokens not used       | 7     | 8    | 0    | 40     | a third leave meanwhile  |
 
   Scenario Outline: No more than the rate and 3 in 4 seconds while <what>: <count> processes
-    Given <count> processes before an upstream that takes <rate> a second, 0.01 of datagrams lost
+    Given <count> processes before an upstream that accepts <rate> a second, 0.01 of datagrams lost
     When callers come 40 a second, evenly, and <what>
-    Then no 4 seconds had more sendings than the rate and 3
-    And sendings went on afterwards
+    Then no 4 seconds had more requests than the rate allows plus 3
+    And requests were sent again afterwards
 
     Examples:
       | what                                      | count | rate |
@@ -46,21 +46,21 @@
   #   49.483 e0 upstream-limit rate=0.7 version=1 source=answer
   #   53.589 e2 upstream-limit rate=0.7 version=1 source=answer
   Scenario: A process that starts while the store is dark hears of the limits from its peers
-    Given 7 processes before an upstream that takes 0.7 a second, 0 of datagrams lost
-    When the store is dark before the limit is known, and a process starts after it
+    Given 7 processes before an upstream that accepts 0.7 a second, 0 of datagrams lost
+    When the store is unavailable before the limit is known, and a process starts after it
     Then the process knows the limit within 0.5 seconds, from a peer
 
   Scenario: A token is of no use to a process that stood still meanwhile
-    Given 3 processes before an upstream that takes 2.3 a second, 0 of datagrams lost
-    Then a token that was taken 0.3 seconds ago sends nothing
+    Given 3 processes before an upstream that accepts 2.3 a second, 0 of datagrams lost
+    Then a token acquired 0.3 seconds ago can't be used
 
   Scenario: Nothing is saved up beyond two sendings while no caller comes
-    Given 3 processes before an upstream that takes 20 a second, 0 of datagrams lost
+    Given 3 processes before an upstream that accepts 20 a second, 0 of datagrams lost
     When a caller comes each second for a while, and then 100 at once
-    Then no more than 4 of the hundred were sent within 0.05 seconds
+    Then at most 4 of the hundred were sent within 0.05 seconds
 
   Scenario Outline: What an upstream names is <text>
-    Then answers that name <text> say <rate>, <malformed> malformed ones
+    Then responses with the limit <text> are read as <rate>, <malformed> malformed headers
 
     Examples:
       | text             | rate    | malformed |
@@ -82,8 +82,8 @@
       | 2.3 in a 421     | nothing | without   |
 
   Scenario Outline: Which answer counts: <case>
-    Given a process that heard <heard>
-    Then it keeps to <rate>
+    Given a process that received <heard>
+    Then its limit is <rate>
 
     Examples:
       | case                              | heard                                     | rate    |
@@ -102,18 +102,18 @@
       | an unreadable one ends nothing    | 5, then unreadable                        | 5       |
 
   Scenario: A thousand changes a second are told and logged a few times, and memory stays bounded
-    Given 3 processes before an upstream that takes 2.3 a second, 0 of datagrams lost
-    When a process hears another limit from 5000 upstreams, and 1000 from one within a second
-    Then it keeps no more than 4096 of them
+    Given 3 processes before an upstream that accepts 2.3 a second, 0 of datagrams lost
+    When a process receives a limit from 5000 upstreams, and 1000 from one more within a second
+    Then it retains at most 4096 limits
     And it logged the one upstream at most 7 times
 
   Scenario: Datagrams about limits that nobody of ours sent
-    Given 3 processes before an upstream that takes 2.3 a second, 0 of datagrams lost
-    When strange datagrams about limits come
+    Given 3 processes before an upstream that accepts 2.3 a second, 0 of datagrams lost
+    When malformed datagrams about limits arrive
     Then they are counted and the limit still holds
 
   Scenario: When the limit ends, callers are served without tokens, and the lease is no longer renewed
-    Given 7 processes before an upstream that takes 2.3 a second, 0 of datagrams lost
+    Given 7 processes before an upstream that accepts 2.3 a second, 0 of datagrams lost
     When callers come 20 a second, evenly, and the limit ends
     Then every process sends without tokens within 1 second
-    And the store is asked nothing more about limits
+    And the store receives no more calls about limits
--- a/features/restarts.feature
+++ b/features/restarts.feature
@@ -5,7 +5,7 @@
   tells the two starts apart is `born` in all that it says.
 
   Scenario: What is said of one start changes nothing that is known of a newer one
-    Then after what was said of one id this start is known
+    Then after these reports about one id this start time is known
       | said                                             | known |
       | row 5                                            | 5     |
       | row 5, row 5                                     | 5     |
@@ -48,7 +48,7 @@
       | row 5, row null                                  | none  |
 
   Scenario: A question to one start that another one answers has no answer
-    Then each answer counts as this
+    Then each reply has this result
       | asked | answers  | report     | pulse  | place      | move       |
       | 5     | 5        | 3 orders   | alive  | taken      | moved      |
       | 5     | nameless | 3 orders   | alive  | taken      | moved      |
@@ -57,7 +57,7 @@
       | none  | 5        | 3 orders   | alive  | taken      | moved      |
 
   Scenario: Ids that look like an id with its start are told apart
-    Then upstreams of these ids and starts are all known, each under its own id on the wire
+    Then upstreams with these ids and start times are distinct, each with its own id on the wire
       | id    | born |
       | a     | 5    |
       | a@5   |      |
@@ -67,11 +67,11 @@
       | @     | 1    |
 
   Scenario Outline: <part> starts again under a stream, its connections <connections>, told by <told>
-    Given two chains of runners that tell their starts
-    When <part> starts again after 5 events, its connections <connections>, and that is told by <told>
+    Given two chains of runners that report their start times
+    When <part> restarts after 5 events, its connections <connections>, and <told> reports it
     Then the caller got every event once, with no pause over <pause> seconds
     And every event passed each layer once
-    And nothing counts as held or under way at the older start
+    And nothing counts as held or in flight at the older incarnation
 
     Examples:
       | part | connections | told         | pause |
@@ -85,14 +85,14 @@
       | x2   | go silent   | a late row   | 0.4   |
 
   Scenario: Runs at starts that ended are gone, however often a stream meets that
-    Given two chains of runners that tell their starts
-    When the first upstream of a stream starts again three times under it
+    Given two chains of runners that report their start times
+    When the first stage of a stream restarts three times during the stream
     Then the caller got every event once, with no pause over 0.3 seconds
 
   Scenario Outline: A gap after a restart is planned at once: told by <told>
-    Given a chain of runners that tell their starts, and room in each for all layers
-    When x2 starts again and that is told by <told>
-    Then every layer is ordered again within <late> seconds of that word
+    Given a chain of runners that report their start times, each with room for all layers
+    When x2 restarts and <told> reports it
+    Then every layer is ordered again within <late> seconds of that report
 
     Examples:
       | told     | late |
@@ -100,17 +100,17 @@
       | a report | 0.5  |
 
   Scenario: An order given to the older start and taken by the newer is under way for neither
-    Given a chain of runners that tell their starts, and an empty one that a gap needs
-    When x2 is lost, and x3 starts again and takes the order that was meant for its older start
+    Given a chain of runners that report their start times, and an empty one to fill a gap
+    When x2 is lost, and x3 restarts and accepts the order meant for its older incarnation
     Then x3 got another order within 0.6 seconds of its row, though a load takes 4 seconds
 
   Scenario: A row that is missing at the store's return may be that of a start that ended
-    Given two chains of runners that tell their starts
+    Given two chains of runners that report their start times
     When the row of x2 is missing at the store's return and x2 started again
     Then its layers are ordered elsewhere between 0 and 0.8 seconds after it
 
   Scenario: A peer that still passes an older start on brings nothing back
-    Then of one id this start is known after peers told
+    Then after these updates from peers about one id this start time is known
       | told                           | known |
       | changes 5, changes 7           | 7     |
       | changes 5, all 7               | 7     |
@@ -120,11 +120,11 @@
       | changes 7, changes 5           | 7     |
 
   Scenario: While the store is away an upstream that started again gets nothing until its row comes
-    Given two chains of runners that tell their starts
-    When x2 starts again while the store is away and only a report tells of it
+    Given two chains of runners that report their start times
+    When x2 restarts while the store is unavailable and only a report shows it
     Then streams run in domain y from that report on, and x2 is usable after the store's return
 
   Scenario: Kept connections to the older start are closed
-    Given a plain upstream that tells its start
-    When it starts again silently between two calls
+    Given a plain upstream that reports its start time
+    When it restarts between two calls without closing its connections
     Then the second call was answered within 0.2 seconds
--- a/features/steps/crash_evidence_steps.py
+++ b/features/steps/crash_evidence_steps.py
@@ -51,7 +51,7 @@
     return SimpleNamespace(identity=identity, service=SimpleNamespace(model=None))
 
 
-@given("runs {runs} at an upstream, each from its start to its break in seconds")
+@given("attempts {runs} at an upstream, each from its start to its break in seconds")
 def runs_given(context, runs):
     context.runs = []
     for run in runs.split(", "):
@@ -102,6 +102,6 @@
     trio.run(story, clock=MockClock(autojump_threshold=0))
 
 
-@then("the upstream ended under {identities}")
+@then("the crash is attributed to {identities}")
 def ended_under(context, identities):
     assert context.ended_under == set(identities.split(", ")), context.ended_under
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -13,7 +13,7 @@
 AT_ONCE_SECONDS = 0.01
 
 
-@given("three processes before upstreams that some requests crash")
+@given("three gateway processes and upstreams that some requests crash")
 def three_processes(context):
     context.site = CrashWorld()
     context.deadly = []
@@ -97,7 +97,10 @@
             await trio.sleep(OTHERS_SECONDS)
 
 
-@when("a deadly request for {route} comes each 0.7 seconds for {seconds:d} seconds, while {what}")
+@when(
+    "a crashing request for {route} is sent every 0.7 seconds for {seconds:d}"
+    " seconds, while {what}"
+)
 def comes_while(context, route, seconds, what):
     async def story(site):
         async with trio.open_nursery() as nursery:
@@ -109,7 +112,10 @@
     context.site.play(story)
 
 
-@when("a deadly request for {route} comes each 0.7 seconds for {seconds:d} seconds, among others")
+@when(
+    "a crashing request for {route} is sent every 0.7 seconds for {seconds:d}"
+    " seconds, among others"
+)
 def comes_among_others(context, route, seconds):
     async def story(site):
         async with trio.open_nursery() as nursery:
@@ -184,7 +190,7 @@
     context.site.play(story)
 
 
-@when("the plain upstreams break off every answer and go on")
+@when("the plain upstreams break off every response and keep running")
 def plain_break_off(context):
     async def story(site):
         for name in ("px", "py"):
@@ -194,7 +200,7 @@
     context.site.play(story)
 
 
-@then("nothing reached an upstream that no caller sent")
+@then("upstreams received only requests that callers sent")
 def nothing_unasked(context):
     unasked = [each for each in context.site.arrivals if each.request not in context.site.bodies]
     assert context.site.arrivals and not unasked, (len(unasked), unasked[:3])
@@ -218,14 +224,14 @@
     site.play(story)
 
 
-@then("it reached upstreams no more than 3 times later than 3 seconds after the third end")
+@then("it reached upstreams at most 3 times later than 3 seconds after the third crash")
 def bound_kept(context):
     assert context.site.ends_under(DEADLY), "nothing was crashed"
     late = context.site.sent_after_third(DEADLY)
     assert len(late) <= 3, (len(late), [each.at for each in context.site.crashes])
 
 
-@then("it ended no more than {most:d} upstreams")
+@then("it crashed at most {most:d} upstreams")
 def ends_bounded(context, most):
     ends = context.site.ends_under(DEADLY)
     assert len(ends) <= most, (len(ends), [(each.instance, round(each.at, 2)) for each in ends])
@@ -238,14 +244,14 @@
         return ""
 
 
-@then("no other caller was told that its request ends upstreams")
+@then("no other caller was refused because of crashes")
 def others_not_told(context):
     assert context.others
     told = [got for _, got in context.others if reason_of(got) == REASON]
     assert not told, (len(told), len(context.others))
 
 
-@then("every other caller that came {seconds:d} seconds after the first end was served")
+@then("every other caller that came {seconds:d} seconds after the first crash was served")
 def others_served(context, seconds):
     first = context.site.crashes[0].at
     later = [got for at, got in context.others if at > first + seconds]
@@ -253,7 +259,7 @@
     assert len(later) > 50 and not failed, (len(later), len(failed), failed[:3])
 
 
-@then("later callers of it were refused within 0.01 seconds, as one that ends upstreams")
+@then("its later callers were refused within 0.01 seconds, because it crashes upstreams")
 def refused_at_once(context):
     third = context.site.ends_under(DEADLY)[:3][-1].at
     later = [got for at, got in context.deadly if at > third + 1.0]
--- a/features/steps/notice_steps.py
+++ b/features/steps/notice_steps.py
@@ -35,20 +35,22 @@
 NEXT_SECONDS = 0.1
 
 
-@given("upstreams of which the first one turns requests away and asks for {asks}")
+@given("upstreams of which the first one refuses requests with Retry-After {asks}")
 def first_asks(context, asks):
     for runner in first_ones(site_with_notices(context)):
         runner.behaviour = "full"
         runner.asks = ODD_ASKS.get(asks, tuple(asks.split(" / ")))
 
 
-@given("upstreams of which the first one turns requests away for x2 and asks for 3")
+@given("upstreams of which the first one refuses requests for x2's sake, with Retry-After 3")
 def asks_for_another(context):
     first_asks(context, "3")
     context.site.runners["x1"].at_fault = "x2:1"
 
 
-@given("upstreams that all turn requests away, the first one asks for 3 and the others for 2")
+@given(
+    "upstreams that all refuse requests, the first one with Retry-After 3 and the" " others with 2"
+)
 def all_ask(context):
     first_asks(context, "3")
     for name in ("y1", "p2"):
@@ -56,14 +58,17 @@
         context.site.runners[name].asks = ("2",)
 
 
-@given("upstreams that all turn requests away, the first one asks for 3 and the others for nothing")
+@given(
+    "upstreams that all refuse requests, the first one with Retry-After 3 and the"
+    " others without it"
+)
 def one_asks(context):
     all_ask(context)
     for name in ("y1", "p2"):
         context.site.runners[name].asks = ()
 
 
-@then("the first caller that both turned away may come back within {seconds:g} seconds")
+@then("the first caller that both refused may retry within {seconds:g} seconds")
 def comes_back(context, seconds):
     site = context.site
     refused = [got for _, got in context.notices.got if got.status == 503]
@@ -72,19 +77,19 @@
     assert 0 < told <= seconds, told
 
 
-@given("upstreams of which the first one will turn requests away and ask for 3")
+@given("upstreams of which the first one will refuse requests with Retry-After 3")
 def will_ask(context):
     site_with_notices(context)
 
 
-@given("upstreams of which the first one asks for 3 in the answer to {answer}")
+@given("upstreams of which the first one sends Retry-After 3 in the response to {answer}")
 def asks_in_control(context, answer):
     runner, _ = first_ones(site_with_notices(context))
     runner.asks, runner.refuses_control = ("3",), True
     context.control_call = answer
 
 
-@given("upstreams of which the first one says that it leaves in the answer to {answer}")
+@given("upstreams of which the first one announces its shutdown in the response to {answer}")
 def says_leaving(context, answer):
     context.control_call = ""
     for runner in first_ones(site_with_notices(context)):
@@ -97,13 +102,13 @@
             context.control_call = answer
 
 
-@given("upstreams that all say that they leave")
+@given("upstreams that all announce their shutdown")
 def all_leave(context):
     for runner in site_with_notices(context).runners.values():
         runner.says_leaving = True
 
 
-@given("upstreams of which the first one answers that it is another one, which leaves")
+@given("upstreams of which another, leaving one responds at the address of the first one")
 def another_answers(context):
     site = site_with_notices(context)
     other = StandinRunner(site, "another", "crm", "x")
@@ -123,7 +128,7 @@
         await site.control.load(row(site, "x1"))
 
 
-@when("a caller asks for {route} each 0.05 seconds for {seconds:d} seconds")
+@when("a caller asks for {route} every 0.05 seconds for {seconds:d} seconds")
 def asks_on(context, route, seconds):
     async def story(site):
         await make_control_call(context)
@@ -142,8 +147,8 @@
         await trio.sleep(0.1)
 
 
-@when("the first one has asked for it, and {what}")
-@when("the first one has said so, and {what}")
+@when("the first one has sent it, and {what}")
+@when("the first one has announced it, and {what}")
 def happens(context, what):
     context.happens = what
 
@@ -199,7 +204,7 @@
     context.site.play(story)
 
 
-@when("the first one has said so while the store doesn't tell")
+@when("the first one has announced it while its row doesn't show it")
 def said_without_store(context):
     for runner in context.site.runners.values():
         runner.obeys = True
@@ -222,7 +227,7 @@
     assert any(each.instance == name for each in context.site.asked), context.site.arrivals
 
 
-@then("the first one got no request in the time it had asked for")
+@then("the first one got no request during its backoff")
 def rest_kept(context):
     name = FIRST[context.notices.route]
     assert_was_asked(context, name)
@@ -230,14 +235,14 @@
     assert not late, (len(late), late[:3], context.site.lines[-5:])
 
 
-@then("no upstream got a request in the time it had asked for")
+@then("no upstream got a request during its backoff")
 def rests_kept(context):
     rest_kept(context)
     for name in context.site.runners:
         assert not arrivals_while_asked(context.site, name)
 
 
-@then("the first one got requests again after that time")
+@then("the first one got requests again after its backoff")
 def used_again(context):
     name = FIRST[context.notices.route]
     over = max(each.at + each.seconds for each in context.site.asked if each.instance == name)
@@ -255,7 +260,7 @@
 
 
 @then(
-    "every later caller was refused within 0.01 seconds, to come back when the first time is over"
+    "every later caller was refused within 0.01 seconds, to retry when the first" " backoff is over"
 )
 def told_when(context):
     site = context.site
@@ -285,7 +290,9 @@
     assert all(got.seconds <= AT_ONCE_SECONDS for got in later)
 
 
-@then("the first one got its next request after {seconds} seconds, {malformed} malformed answers")
+@then(
+    "the first one got its next request after {seconds} seconds, {malformed}" " malformed responses"
+)
 def next_after(context, seconds, malformed):
     site = context.site
     at = [each.at for each in site.arrivals if each.instance == "x1"]
@@ -300,7 +307,7 @@
     assert (counted > 0) == (malformed == "with"), counted
 
 
-@then("the first one got no request after it had said so")
+@then("the first one got no request after its announcement")
 def leaving_kept(context):
     name = FIRST[context.notices.route]
     assert any(each.instance == name for each in context.site.told_leaving)
@@ -308,14 +315,14 @@
     assert not late, (len(late), late[:3])
 
 
-@then("no upstream got a request after it had said so")
+@then("no upstream got a request after its announcement")
 def all_leaving_kept(context):
     leaving_kept(context)
     for name in context.site.runners:
         assert not arrivals_after_leaving(context.site, name)
 
 
-@then("the first one got requests at its new start")
+@then("the first one got requests as a new incarnation")
 def new_start_used(context):
     name = FIRST[context.notices.route]
     start = context.site.runners[name].born
@@ -324,13 +331,13 @@
     assert found, context.site.arrivals[-3:]
 
 
-@then("the first one is not taken for leaving")
+@then("the first one is not recorded as leaving")
 def not_leaving(context):
     assert context.notices.got
     assert "p1" in context.usable, context.usable
 
 
-@then("the explanation of a later refusal tells who asked and for how long")
+@then("the explanation of a later refusal names the upstreams and their backoffs")
 def explained(context):
     lines = [
         json.dumps({"node": "n", "at": 0.0, "message_type": kind, **fields})
@@ -361,7 +368,7 @@
 )
 
 
-@then("any headers of an answer are read")
+@then("any response headers are parsed")
 def any_headers(context):
     @settings(max_examples=500, derandomize=True, deadline=None, database=None)
     @hypothesis_given(HEADERS, strategies.sampled_from([200, 421, 429, 500, 503]))
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -36,7 +36,7 @@
     return decode_quarantine((await ask_peer(site, process, b"GET", b"/quarantine"))[1])
 
 
-@when("a deadly request was stopped, its fault is mended, and an operator releases it")
+@when("a crashing request is quarantined, its fault is fixed, and an operator releases it")
 def released(context):
     async def story(site):
         for number in range(3):
@@ -57,7 +57,7 @@
     context.site.play(story)
 
 
-@then("every process listed it with 2 ends before")
+@then("every process listed it with 2 crashes before")
 def was_listed(context):
     for views in context.listed:
         assert [(each.ends, len(each.instances)) for each in views] == [(2, 2)], views
@@ -69,7 +69,9 @@
     assert [each.status for each in context.after] == [200] * 3, context.after
 
 
-@when("a deadly request comes to all processes at once, each second for {seconds:d} seconds")
+@when(
+    "a crashing request is sent to all processes at once, every second for" " {seconds:d} seconds"
+)
 def comes_to_all(context, seconds):
     async def story(site):
         async with trio.open_nursery() as nursery:
@@ -84,13 +86,13 @@
     context.site.play(story, 400.0)
 
 
-@then("it ended {count:d} upstreams")
+@then("it crashed {count:d} upstreams")
 def ended_exactly(context, count):
     ends = [round(each.at, 2) for each in context.site.ends_under(DEADLY)]
     assert len(ends) == count, ends
 
 
-@then("a request is refused for so long")
+@then("a request is quarantined for this time")
 def refused_for(context):
     for row in context.table:
         guarded = row["others convicted"] == "yes"
@@ -119,7 +121,7 @@
     }
 
 
-@then("told in any order, any number of times, ends count the same")
+@then("crashes reported in any order, any number of times, give the same count")
 def order_is_nothing(context):
     @settings(max_examples=300, derandomize=True, deadline=None, database=None)
     @hypothesis_given(CRASHES, strategies.randoms())
@@ -131,7 +133,7 @@
     check()
 
 
-@then("what runs well is cleared, and what is told of it late counts for nothing")
+@then("a request that succeeds is cleared, and late reports about it are ignored")
 def cleared(context):
     now = [100.0]
     evidence = CrashEvidence(lambda: now[0])
@@ -147,7 +149,7 @@
     assert not evidence.succeeded_recently(ONE)
 
 
-@then("ends told with what was known when their runs were sent count so")
+@then("crashes reported with the count known at the start of the attempt give these counts")
 def chain_counts(context):
     for row in context.table:
         evidence = CrashEvidence(lambda: 5.0)
@@ -157,7 +159,7 @@
         assert evidence.crash_count(ONE) == int(row["ends"]), (row, evidence.crash_count(ONE))
 
 
-@when("a row of ends {what}")
+@when("a row of the crash table {what}")
 def bad_row(context, what):
     async def story(site):
         key, value = ROWS[what]
@@ -173,7 +175,7 @@
     context.site.play(story)
 
 
-@then("no process takes anything for ended, and all go on")
+@then("no process records a crash, and all keep serving callers")
 def nothing_ended(context):
     assert context.listed == [(), (), ()]
     for counts in context.counts:
--- a/features/steps/rate_limit_steps.py
+++ b/features/steps/rate_limit_steps.py
@@ -15,21 +15,23 @@
 LONGEST_UNKNOWN_SECONDS = 5.0
 
 
-@given("{count:d} processes, and a first upstream that will name a limit of {rate:g} a second")
+@given(
+    "{count:d} processes, and a first upstream that will announce a limit of" " {rate:g} a second"
+)
 def one_limited(context, count, rate):
     context.site = RateWorld(count)
     context.rate, context.all_limited = rate, False
 
 
-@given("{count:d} processes, and upstreams that will all name a limit of {rate:g} a second")
+@given("{count:d} processes, and upstreams that will all announce a limit of {rate:g} a second")
 def all_limited(context, count, rate):
     one_limited(context, count, rate)
     context.all_limited = True
 
 
 @given(
-    "{count:d} processes, and upstreams that will all name a limit of {rate:g} a second, and spare"
-    " ones"
+    "{count:d} processes, and upstreams that will all announce a limit of {rate:g} a"
+    " second, and spare ones"
 )
 def all_limited_but_spare(context, count, rate):
     all_limited(context, count, rate)
@@ -65,7 +67,7 @@
     context.site.play(lambda site: callers_meet_limits(context))
 
 
-@when("callers keep asking for {route}, half of them one process")
+@when("callers keep asking for {route}, half of them at one process")
 def asked_unevenly(context, route):
     context.route = route
     context.site.play(lambda site: callers_meet_limits(context, share_of_first=0.5))
@@ -194,7 +196,7 @@
     context.site.play(lambda site: callers_meet_limits(context, HAPPENINGS[what]))
 
 
-@then("no upstream got more than it takes of all of them")
+@then("no upstream got more requests than its rate limit allows")
 def limit_kept(context):
     site = context.site
     most = {name: site.most_in_window(name) for name in limited_names(context)}
@@ -203,13 +205,13 @@
     assert max(most.values()) <= allowed, (most, allowed)
 
 
-@then("every caller of theirs was served")
+@then("every caller of the processes was served")
 def everybody_served(context):
     unserved = [got.status for _, got in context.site.got if got.status != 200 or not got.whole]
     assert context.site.got and not unserved, (len(unserved), len(context.site.got), unserved[:5])
 
 
-@then("of what they take at least 0.85 was used")
+@then("at least 0.85 of the allowed rate was used")
 def limit_used(context):
     site = context.site
     until = context.limited_until
@@ -218,7 +220,7 @@
         assert used >= USED_SHARE, (name, used)
 
 
-@then("every other caller was refused at once, with a moment at which a request is taken again")
+@then("every other caller was refused at once, with the time at which a token is free")
 def refused_with_moment(context):
     site = context.site
     refused = [got for at, got in site.got if got.status != 200 and at >= context.limited_since]
@@ -234,14 +236,14 @@
     assert earliest <= LATE_SECONDS, earliest
 
 
-@then("it was asked about them")
+@then("it was queried about them")
 def was_asked(context):
     site = context.site
     asked = [each for each in site.questions if each.instance == "x1" and each.at > site.named_at]
     assert asked
 
 
-@then("it is not taken for lost")
+@then("it is not recorded as lost")
 def not_lost(context):
     lines = context.site.lines
     lost = [
@@ -253,7 +255,7 @@
     assert not lost, lost[:3]
 
 
-@then("the first upstream gets a part of all requests again")
+@then("the first upstream gets a share of all requests again")
 def comes_back(context):
     site = context.site
     # A limit of nothing is asked about once in some seconds.
@@ -264,7 +266,8 @@
 
 
 @then(
-    "others began paths between {first:d} and {last:d} seconds after it, by at most {most:d} orders"
+    "other upstreams began paths {first:d} to {last:d} seconds after the limit, by"
+    " at most {most:d} orders"
 )
 def others_begin(context, first, last, most):
     site = context.site
--- a/features/steps/rate_sharing_steps.py
+++ b/features/steps/rate_sharing_steps.py
@@ -29,8 +29,8 @@
 
 
 @given(
-    "{count:d} processes before an upstream that takes {rate:g} a second, {lost:g} of"
-    " datagrams lost"
+    "{count:d} processes before an upstream that accepts {rate:g} a second, {lost:g}"
+    " of datagrams lost"
 )
 def processes(context, count, rate, lost):
     context.site = TokenWorld(count, rate, lost)
@@ -154,7 +154,7 @@
 }
 
 
-@then("no 4 seconds had more sendings than the rate and 3")
+@then("no 4 seconds had more requests than the rate allows plus 3")
 def rate_kept(context):
     site = context.site
     most, allowed = site.most_in(WINDOW_SECONDS, context.since), 4.0 * site.rate + SLACK
@@ -170,7 +170,7 @@
     assert used >= USED_SHARE, used
 
 
-@then("sendings went on afterwards")
+@then("requests were sent again afterwards")
 def went_on(context):
     site = context.site
     begin = context.over_at + ELECTION_SECONDS + 2.0
@@ -179,7 +179,7 @@
     assert len(late) >= USED_SHARE * site.rate * span, (len(late), site.rate * span)
 
 
-@when("the store is dark before the limit is known, and a process starts after it")
+@when("the store is unavailable before the limit is known, and a process starts after it")
 def starts_in_the_dark(context):
     async def story(site):
         site.store.away = True
@@ -199,7 +199,7 @@
     assert [fields["source"] for _, fields in context.process.lines] == ["peer"]
 
 
-@then("a token that was taken {seconds:g} seconds ago sends nothing")
+@then("a token acquired {seconds:g} seconds ago can't be used")
 def stale_token(context, seconds):
     async def story(site):
         site.tell_all()
@@ -229,13 +229,13 @@
     context.site.play(story)
 
 
-@then("no more than {most:d} of the hundred were sent within 0.05 seconds")
+@then("at most {most:d} of the hundred were sent within 0.05 seconds")
 def none_saved(context, most):
     sent = [at for at, _ in context.site.sent if context.since <= at < context.since + 0.05]
     assert 1 <= len(sent) <= most, len(sent)
 
 
-@then("answers that name {text} say {rate}, {malformed} malformed ones")
+@then("responses with the limit {text} are read as {rate}, {malformed} malformed headers")
 def named(context, text, rate, malformed):
     status = 421 if text.endswith("in a 421") else 200
     values = [each.encode() for each in text.removesuffix(" in a 421").split(" / ")]
@@ -245,7 +245,7 @@
     assert notice.malformed == (malformed == "with"), notice
 
 
-@given("a process that heard {heard}")
+@given("a process that received {heard}")
 def hears(context, heard):
     clock = iter(range(1000))
     now = [0.0]
@@ -268,12 +268,12 @@
         intake.apply(UPSTREAM, notice, sent_at, "question" in each)
 
 
-@then("it keeps to {rate}")
+@then("its limit is {rate}")
 def keeps_to(context, rate):
     assert context.book.rate_of(UPSTREAM) == (None if rate == "nothing" else float(rate))
 
 
-@when("a process hears another limit from 5000 upstreams, and 1000 from one within a second")
+@when("a process receives a limit from 5000 upstreams, and 1000 from one more within a second")
 def floods(context):
     async def story(site):
         process = site.processes[0]
@@ -288,7 +288,7 @@
     context.site.play(story)
 
 
-@then("it keeps no more than {most:d} of them")
+@then("it retains at most {most:d} limits")
 def bounded(context, most):
     assert len(context.process.limits.limits()) <= most
 
@@ -299,7 +299,7 @@
     assert 1 <= len(lines) <= most, len(lines)
 
 
-@when("strange datagrams about limits come")
+@when("malformed datagrams about limits arrive")
 def strange(context):
     async def story(site):
         site.tell_all()
@@ -329,7 +329,7 @@
     assert len(after) > 20 * 5.0 * USED_SHARE, len(after)
 
 
-@then("the store is asked nothing more about limits")
+@then("the store receives no more calls about limits")
 def no_calls(context):
     calls = context.site.store.reads + context.site.store.transactions
     assert calls <= context.site.calls_at_end, (calls, context.site.calls_at_end)
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -116,7 +116,7 @@
     site.store.tells_all_rows = False
 
 
-@then("after what was said of one id this start is known")
+@then("after these reports about one id this start time is known")
 def start_known(context):
     wrong = []
     for row in context.table:
@@ -140,7 +140,7 @@
     assert not wrong, wrong
 
 
-@then("of one id this start is known after peers told")
+@then("after these updates from peers about one id this start time is known")
 def start_known_from_peers(context):
     wrong = []
     for row in context.table:
@@ -172,7 +172,7 @@
     """Take a call that nothing follows from."""
 
 
-@then("each answer counts as this")
+@then("each reply has this result")
 def answers_count(context):
     wrong = []
     for row in context.table:
@@ -196,7 +196,7 @@
     assert not wrong, wrong
 
 
-@then("upstreams of these ids and starts are all known, each under its own id on the wire")
+@then("upstreams with these ids and start times are distinct, each with its own id on the wire")
 def ids_apart(context):
     # Two rows of one id are the same upstream: each is looked at in a site of its own.
     instances = []
@@ -217,14 +217,14 @@
     assert len(set(instances)) == len(instances), instances
 
 
-@given("two chains of runners that tell their starts")
+@given("two chains of runners that report their start times")
 def chains_with_starts(context):
     two_chains(context)
     for runner in context.site.runners.values():
         runner.born, runner.slots = 1000, 96
 
 
-@given("a chain of runners that tell their starts, and room in each for all layers")
+@given("a chain of runners that report their start times, each with room for all layers")
 def chain_with_starts(context):
     context.site = GatewayWorld()
     for name, first in (("x1", 0), ("x2", 4)):
@@ -232,8 +232,8 @@
 
 
 @when(
-    "{part} starts again after {count:d} events, its connections {connections}, and that is told "
-    "by {told}"
+    "{part} restarts after {count:d} events, its connections {connections}, and"
+    " {told} reports it"
 )
 def starts_again_under_stream(context, part, count, connections, told):
     async def change(site):
@@ -254,13 +254,13 @@
     ask_while(context, count, change, rest=1.5, after=look)
 
 
-@then("nothing counts as held or under way at the older start")
+@then("nothing counts as held or in flight at the older incarnation")
 def nothing_at_older(context):
     assert context.left == (None, 0), context.left
     assert context.newer.start == 2000, context.newer
 
 
-@when("the first upstream of a stream starts again three times under it")
+@when("the first stage of a stream restarts three times during the stream")
 def three_restarts(context):
     async def change(site):
         for number in range(3):
@@ -276,7 +276,7 @@
     assert len(context.site.runs) == 4, context.site.runs
 
 
-@given("a chain of runners that tell their starts, and an empty one that a gap needs")
+@given("a chain of runners that report their start times, and an empty one to fill a gap")
 def chain_and_empty(context):
     chain_with_starts(context)
     engine = context.site.config["services"][0]["engine"]
@@ -284,7 +284,7 @@
     context.site.add("x3", "llm", "x").born = 1000
 
 
-@when("x2 starts again and that is told by {told}")
+@when("x2 restarts and {told} reports it")
 def starts_again_at_rest(context, told):
     async def story(site):
         old = listed(site, "x2")
@@ -300,12 +300,12 @@
     context.site.play(story)
 
 
-@then("every layer is ordered again within {late:g} seconds of that word")
+@then("every layer is ordered again within {late:g} seconds of that report")
 def ordered_again(context, late):
     assert context.ordered_after <= late, (context.ordered_after, context.site.lines)
 
 
-@when("x2 is lost, and x3 starts again and takes the order that was meant for its older start")
+@when("x2 is lost, and x3 restarts and accepts the order meant for its older incarnation")
 def newer_takes_order(context):
     times = context.times = SimpleNamespace(row=None, order=None)
 
@@ -346,7 +346,7 @@
     assert times.order - times.row <= late, (times, context.site.lines)
 
 
-@when("x2 starts again while the store is away and only a report tells of it")
+@when("x2 restarts while the store is unavailable and only a report shows it")
 def restart_without_store(context):
     async def story(site):
         old = listed(site, "x2")
@@ -378,13 +378,13 @@
     assert context.usable == [2000], (context.usable, context.site.lines[-8:])
 
 
-@given("a plain upstream that tells its start")
+@given("a plain upstream that reports its start time")
 def plain_with_start(context):
     context.site = GatewayWorld()
     context.site.add("p1", SERVICE).born = 1000
 
 
-@when("it starts again silently between two calls")
+@when("it restarts between two calls without closing its connections")
 def silent_restart(context):
     async def story(site):
         assert (await site.ask("again", "r1")).status == 200
--- a/features/told_leaving.feature
+++ b/features/told_leaving.feature
@@ -7,9 +7,9 @@
   #   upstream-leaving instance=x1
 
   Scenario Outline: The word counts in whatever answer it comes: <answer>
-    Given upstreams of which the first one says that it leaves in the answer to <answer>
-    When a caller asks for <route> each 0.05 seconds for 3 seconds
-    Then the first one got no request after it had said so
+    Given upstreams of which the first one announces its shutdown in the response to <answer>
+    When a caller asks for <route> every 0.05 seconds for 3 seconds
+    Then the first one got no request after its announcement
     And every caller was served
 
     Examples:
@@ -23,10 +23,10 @@
       | an order                 | stream |
 
   Scenario Outline: The word holds though <what>
-    Given upstreams of which the first one says that it leaves in the answer to <answer>
-    When the first one has said so, and <what>
-    And a caller asks for <route> each 0.05 seconds for 3 seconds
-    Then the first one got no request after it had said so
+    Given upstreams of which the first one announces its shutdown in the response to <answer>
+    When the first one has announced it, and <what>
+    And a caller asks for <route> every 0.05 seconds for 3 seconds
+    Then the first one got no request after its announcement
 
     Examples:
       | what                                | answer   | route  |
@@ -38,29 +38,29 @@
       | its row is written anew             | a call   | once   |
 
   Scenario: A newer start of the same upstream gets requests again
-    Given upstreams of which the first one says that it leaves in the answer to a call
-    When the first one has said so, and it starts again under its id and says nothing
-    And a caller asks for once each 0.05 seconds for 1 seconds
-    Then the first one got requests at its new start
+    Given upstreams of which the first one announces its shutdown in the response to a call
+    When the first one has announced it, and it starts again under its id and says nothing
+    And a caller asks for once every 0.05 seconds for 1 seconds
+    Then the first one got requests as a new incarnation
 
   Scenario: Another runner at its address doesn't speak for it
-    Given upstreams of which the first one answers that it is another one, which leaves
-    When a caller asks for once each 0.05 seconds for 1 seconds
-    Then the first one is not taken for leaving
+    Given upstreams of which another, leaving one responds at the address of the first one
+    When a caller asks for once every 0.05 seconds for 1 seconds
+    Then the first one is not recorded as leaving
 
   Scenario: Where all leave, callers are refused at once
-    Given upstreams that all say that they leave
-    When a caller asks for once each 0.05 seconds for 1 seconds
-    Then no upstream got a request after it had said so
+    Given upstreams that all announce their shutdown
+    When a caller asks for once every 0.05 seconds for 1 seconds
+    Then no upstream got a request after its announcement
     And every later caller was refused within 0.01 seconds
 
   Scenario: Its layers are held elsewhere as soon as it says so
-    Given upstreams of which the first one says that it leaves in the answer to a stream
-    When the first one has said so while the store doesn't tell
+    Given upstreams of which the first one announces its shutdown in the response to a stream
+    When the first one has announced it while its row doesn't show it
     Then another upstream is ordered to hold its layers within 2 seconds
 
   Scenario: A stream under way at an upstream that leaves stays there
-    Given upstreams of which the first one says that it leaves in the answer to a stream
+    Given upstreams of which the first one announces its shutdown in the response to a stream
     When a caller asks for one stream
     Then the caller got every event once
     And one upstream ran the stream
