--- a/features/crash_evidence.feature
+++ b/features/crash_evidence.feature
@@ -1,7 +1,7 @@
-Feature: Only requests that an upstream was running when it ended count as evidence
+Feature: Only requests that an upstream was executing when it crashed become suspect
 
-  # Guards against refusing requests that were sent to an upstream after it had ended.
-  Scenario Outline: Runs at an upstream that answers no check until its row is removed: <case>
+  # Guards against quarantining requests that were sent to an upstream after it had ended.
+  Scenario Outline: Attempts at an upstream that answers no probe until its row is removed: <case>
     Given attempts <runs> at an upstream, each from its start to its break in seconds
     And the upstream answered other requests at <answers> seconds
     When the row of the upstream is removed after 3 seconds
--- a/features/crash_world.py
+++ b/features/crash_world.py
@@ -1,7 +1,7 @@
-"""Several processes before runners that a request may crash, on a virtual clock.
+"""Several gateway processes and runners that some requests crash, on a virtual clock.
 
-Whoever begins to run such a request ends; its place starts again some seconds later under another
-id, with the layers that it held. Scenarios judge by what reached the runners.
+A runner that starts to execute such a request crashes. Its replacement starts some seconds later
+under another id, with the same layers. Scenarios check what reached the runners.
 """
 
 from dataclasses import dataclass
@@ -25,18 +25,18 @@
 from deckcourse.settings import GatewaySettings
 from deckcourse.table import TableFailure
 
-# What the body of a request that crashes its runners begins with.
+# Prefix of the body of a request that crashes its runners.
 DEADLY = b"deadly"
-# From the begin of such a run to the crash, seconds.
-FUSE_SECONDS = 2.5 * EVENT_SECONDS
-# From the crash until the row is gone, and until the place starts again, seconds.
-LAPSE_SECONDS = 3.0
-BACK_SECONDS = 4.0
+# Time from the start of such an attempt to the crash, seconds.
+CRASH_DELAY_SECONDS = 2.5 * EVENT_SECONDS
+# Time from the crash until the row is removed, and until the replacement starts, seconds.
+ROW_REMOVAL_DELAY_SECONDS = 3.0
+REPLACEMENT_DELAY_SECONDS = 4.0
 
 
 @dataclass(frozen=True)
 class Crash:
-    """A runner that ended under a request, on the world's clock."""
+    """A crash of a runner while it executed a request, on the clock of the world."""
 
     body: bytes
     instance: str
@@ -44,7 +44,7 @@
 
 
 class CrashingRunner(StandinRunner):
-    """A runner that ends when it begins to run what is deadly to it."""
+    """A runner that crashes when it starts to execute a crashing request."""
 
     async def stream(self, run, exchange, answer):
         if not self.is_deadly(run):
@@ -63,7 +63,7 @@
         return run.body.startswith(DEADLY) and not self.world.cured
 
     async def crash(self, run):
-        await trio.sleep(FUSE_SECONDS)
+        await trio.sleep(CRASH_DELAY_SECONDS)
         run.ended = "crashed"
         if not self.dead:
             self.world.crash(self, run.body)
@@ -71,7 +71,7 @@
 
 
 class ProcessStore:
-    """One process's way to the store, which may be cut."""
+    """The connection of one process to the store, which may be cut."""
 
     def __init__(self, world):
         self.world = world
@@ -97,7 +97,7 @@
 
 
 class GatewayProcess:
-    """One process of the gateway; a start of it knows nothing of the one before."""
+    """One gateway process; a new incarnation keeps no state of the previous one."""
 
     def __init__(self, world, name, domain, start=1):
         self.world = world
@@ -130,7 +130,7 @@
             await self.node.run()
 
     def kill(self):
-        """End it as a loss of power does."""
+        """Kill the process without a shutdown, as a power loss does."""
         self.scope.cancel()
         for each in (self.address, self.peer_address):
             self.world.network.kill(each)
@@ -138,7 +138,7 @@
 
 
 class CrashWorld(GatewayWorld):
-    """Two chains and two plain runners, before them one process in each domain and a third."""
+    """Two chains and two plain runners, and three gateway processes in two failure domains."""
 
     def __init__(self):
         super().__init__()
@@ -148,7 +148,7 @@
         self.starts = 0
         self.apart = False
         self.lapses = True
-        # Whether nothing is deadly any more.
+        # Whether the fault is fixed: no request crashes a runner any more.
         self.cured = False
         self.seeds = ("g0-peer:1",)
         self.names = (("g0", "x"), ("g1", "y"), ("g2", "x"))
@@ -165,7 +165,7 @@
 
     def play(self, story, seconds=200.0):
         async def among_processes(world):
-            # The one process of the usual world stays unused: it knows no peers and gets nothing.
+            # The process of the base world stays unused: it has no peers and gets no requests.
             async with trio.open_nursery() as nursery:
                 self.nursery = nursery
                 self.medium = MemoryMedium(lambda source, target: self.apart)
@@ -179,20 +179,20 @@
         super().play(among_processes, seconds)
 
     def crash(self, runner, body):
-        """End a runner under a request; its place starts again under another id."""
+        """Crash a runner while it executes a request; a replacement starts under another id."""
         self.crashes.append(Crash(body, runner.instance, trio.current_time()))
         runner.die()
-        self.nursery.start_soon(self.come_back, runner)
+        self.nursery.start_soon(self.start_replacement, runner)
 
     def crash_nothing(self):
-        """Note a moment from which on callers count, though no upstream ends."""
+        """Record the time from which callers are checked, without a crash."""
         self.crashes.append(Crash(b"", "", trio.current_time()))
 
-    async def come_back(self, runner):
-        await trio.sleep(LAPSE_SECONDS)
+    async def start_replacement(self, runner):
+        await trio.sleep(ROW_REMOVAL_DELAY_SECONDS)
         if self.lapses:
             self.store.put("servers", runner.instance, None)
-        await trio.sleep(BACK_SECONDS - LAPSE_SECONDS)
+        await trio.sleep(REPLACEMENT_DELAY_SECONDS - ROW_REMOVAL_DELAY_SECONDS)
         self.starts += 1
         name = f"{runner.instance.partition('+')[0]}+{self.starts}"
         after = self.add(name, runner.service, runner.domain, runner.first, runner.end)
@@ -204,11 +204,11 @@
         return next(each for each in reversed(self.runners.values()) if each.address == address)
 
     async def restart(self, process):
-        """Kill a process and start it anew at once."""
+        """Kill a process and restart it at once."""
         process.kill()
-        anew = GatewayProcess(self, process.name, process.domain, process.start + 1)
-        self.processes[self.processes.index(process)] = anew
-        self.nursery.start_soon(anew.run)
+        restarted = GatewayProcess(self, process.name, process.domain, process.start + 1)
+        self.processes[self.processes.index(process)] = restarted
+        self.nursery.start_soon(restarted.run)
         await trio.sleep(1.0)
 
     async def ask_at(self, process, route="stream", name="r1", body=b"{}", **more):
@@ -218,11 +218,11 @@
         return await self.ask(route, name=name, body=body, dial=dial, **more)
 
     def ends_under(self, body):
-        """Return the crashes under a request."""
+        """Return the crashes that a request caused."""
         return [each for each in self.crashes if each.body == body]
 
     def sent_after_third(self, body, contact=3.0):
-        """Return the runs of a request that began so long after it had crashed its third runner."""
+        """Return the times of attempts more than `contact` seconds after the third crash."""
         ends = self.ends_under(body)
         if len(ends) < 3:
             return []
--- a/features/leaving.feature
+++ b/features/leaving.feature
@@ -15,7 +15,7 @@
       | the platform's list   | 0   |
       | an operator's retire  | 60  |
 
-  Scenario: A late line of the list does not bring it back, a new incarnation does
+  Scenario: A late entry of the list does not bring it back, a new incarnation does
     When callers keep asking for 40 seconds
     And the platform's list comes for a busy runner
     And the platform lists it as live again 2 seconds later
--- a/features/mutants_crashes.py
+++ b/features/mutants_crashes.py
@@ -1,4 +1,4 @@
-"""Mutants of what is done about requests that end upstreams, and of the programs' clock."""
+"""Mutants of the quarantine of requests that crash upstreams, and of the programs' clock."""
 
 import time
 
@@ -24,7 +24,7 @@
 
 def others_hear_of_no_end():
     async def tell_crash(self, crash):
-        """Tell nobody."""
+        """Publish nothing."""
 
     PeerGossip.tell_crash = tell_crash
     CrashBook.write = lambda self, crash: None
--- a/features/mutants_notices.py
+++ b/features/mutants_notices.py
@@ -1,4 +1,4 @@
-"""Mutants of what is done about upstreams that ask for time or say that they leave."""
+"""Mutants of the handling of upstreams that request a backoff or announce their shutdown."""
 
 import deckcourse.gateway.lookup as lookup_module
 import deckcourse.gateway.stream as stream_module
--- a/features/mutants_rates.py
+++ b/features/mutants_rates.py
@@ -1,4 +1,4 @@
-"""Mutants of how the rate limits that upstreams name are kept."""
+"""Mutants of how the rate limits that upstreams announce are enforced."""
 
 import deckcourse.gateway.rate_gate as gate_module
 from deckcourse.gateway.rate_gate import RateGate
--- a/features/notice_happenings.py
+++ b/features/notice_happenings.py
@@ -1,4 +1,4 @@
-"""What may happen to an upstream after it asked for time or said that it leaves."""
+"""Events that follow an upstream's backoff request or shutdown announcement."""
 
 import trio
 
@@ -61,10 +61,10 @@
 
 
 async def asks_shorter(site, name):
-    table_asks = site.runners[name].asks
+    usual_asks = site.runners[name].asks
     site.runners[name].asks, site.runners[name].refuses_control = ("0.2",), True
     await site.control.load(row(site, name))
-    site.runners[name].asks, site.runners[name].refuses_control = table_asks, False
+    site.runners[name].asks, site.runners[name].refuses_control = usual_asks, False
 
 
 HAPPENINGS = {
--- a/features/notice_world.py
+++ b/features/notice_world.py
@@ -1,4 +1,4 @@
-"""Upstreams that ask for time or say that they leave, and what callers and they saw of it."""
+"""Upstreams that request a backoff or announce their shutdown, and records of what followed."""
 
 from dataclasses import dataclass, field
 
@@ -6,17 +6,17 @@
 from gateway_story import two_chains
 from gateway_world import Got
 
-# The upstream that asks, by the route that leads to it.
+# The first upstream of each route, which sends the notice.
 FIRST = {"stream": "x1", "fragile": "x1", "once": "p1", "again": "p1"}
-# What was on its way while an answer came counts as sent before it, seconds.
-WAY_SECONDS = 0.02
-# A caller who is told at once waits no longer than this, seconds.
-AT_ONCE_SECONDS = 0.01
+# Requests that arrive within this time of a response count as sent before it, seconds.
+IN_FLIGHT_SECONDS = 0.02
+# Maximum response time of a caller that is refused at once, seconds.
+IMMEDIATE_SECONDS = 0.01
 
 
 @dataclass
 class Notices:
-    """When upstreams asked for something, and what callers got, in the order in which they came."""
+    """The notices that upstreams sent and the responses to callers, in order of arrival."""
 
     asked: list = field(default_factory=list)
     got: list[tuple[float, Got]] = field(default_factory=list)
@@ -24,7 +24,7 @@
 
 
 def site_with_notices(context):
-    """Set up two chains and two plain upstreams, whose first ones are those that ask."""
+    """Set up two chains and two plain upstreams; the first of each sends the notices."""
     two_chains(context)
     for name in ("p1", "p2"):
         context.site.add(name, "crm")
@@ -35,13 +35,13 @@
     return context.site
 
 
-def first_ones(site):
+def first_upstreams(site):
     """Return the first upstreams of both services."""
     return [site.runners[name] for name in ("x1", "p1")]
 
 
 async def keep_asking(site, notices, route, seconds, gap=0.05):
-    """Let callers ask, one each `gap` seconds; return once all have an answer."""
+    """Send a caller's request every `gap` seconds; return once all have a response."""
     notices.route = route
     until = trio.current_time() + seconds
 
@@ -57,14 +57,14 @@
             await trio.sleep(gap)
 
 
-def arrivals_while_asked(site, instance):
-    """Return the requests that reached an upstream in a time for which it had asked for none."""
+def arrivals_during_backoff(site, instance):
+    """Return the requests that reached an upstream during a backoff that it requested."""
     return [
         each
         for each in site.arrivals
         if each.instance == instance
         and any(
-            asked.at + WAY_SECONDS < each.at < asked.at + asked.seconds
+            asked.at + IN_FLIGHT_SECONDS < each.at < asked.at + asked.seconds
             for asked in site.asked
             if asked.instance == instance
         )
@@ -72,14 +72,14 @@
 
 
 def arrivals_after_leaving(site, instance):
-    """Return the requests that reached a start of an upstream after it had said that it leaves."""
+    """Return the requests that reached an incarnation after it announced its shutdown."""
     return [
         each
         for each in site.arrivals
         if any(
             told.instance == instance
             and (each.instance, each.start) == (told.instance, told.start)
-            and each.at > told.at + WAY_SECONDS
+            and each.at > told.at + IN_FLIGHT_SECONDS
             for told in site.told_leaving
         )
     ]
--- a/features/rate_limits.feature
+++ b/features/rate_limits.feature
@@ -1,13 +1,11 @@
-Feature: A rate limit that an upstream names is kept by all processes together
+Feature: All processes together keep the rate limit that an upstream announces
 
-  # An upstream named in its answers how many requests a second it takes from all processes together.
-  # Nothing read that header, and nothing of ours held a rate over all processes: each went on as
-  # before, so 23 streams and questions beside them reached an upstream in 4 s that took 9. What
-  # settled it was the count of what reached it before and after (arrivals by second; it named its
-  # limit at 36.0):
+  # Guards against exceeding the rate that an upstream announces in its responses for all processes
+  # together. The header was ignored, so that 23 streams and further queries reached an upstream in 4 s
+  # that accepted 9. Arrivals by second, with the limit announced at 36.0:
   #   32: 3   33: 8   34: 7   35: 9   36: 5   37: 4   38: 5   39: 7   40: 7   41: 8   42: 8
-  # and that no process wrote a line about it. In memory, 7 processes and 2.3 a second:
-  #   sendings in 4 s 82, allowed 12.2
+  # On the virtual clock, with 7 processes and a limit of 2.3 a second, 82 requests arrived in 4 s where
+  # 12.2 were allowed.
 
   Scenario Outline: Callers are served elsewhere: <route>
     Given 7 processes, and a first upstream that will announce a limit of 2.3 a second
@@ -21,7 +19,7 @@
       | once   |
       | again  |
 
-  Scenario Outline: Where no other is left, callers are refused at once: <route>, <rate> a second
+  Scenario Outline: If no other upstream is left, callers are refused at once: <route>, <rate> a second
     Given 7 processes, and upstreams that will all announce a limit of <rate> a second
     When callers keep asking all processes for <route>
     Then no upstream got more requests than its rate limit allows
@@ -60,41 +58,41 @@
       | peers are cut off from each other          | again  |
       | all processes are killed and start at once | once   |
 
-  # A third of what reached the upstream were questions: about its load, and about streams that stood
-  # still, five in a row by each process.
-  Scenario: Questions about streams that stand still are a part of what it takes
+  # Guards against queries beyond the limit. A third of what reached the upstream were queries: for its
+  # load, and for stalled streams, five in a row by each process.
+  Scenario: Queries about stalled streams count towards the limit
     Given 7 processes, and a first upstream that will announce a limit of 2.3 a second
     When callers keep asking for stream while an upstream behind it holds streams up
     Then no upstream got more requests than its rate limit allows
     And it was queried about them
     And it is not recorded as lost
 
-  Scenario: What can't be asked for want of a token is not taken for lost when its row lapses
+  Scenario: An upstream that can't be probed without a token is not lost when its row lapses
     Given 7 processes, and a first upstream that will announce a limit of 0 a second
     When callers keep asking for stream while the store comes back without its row
     Then no upstream got more requests than its rate limit allows
     And it is not recorded as lost
 
-  Scenario: Where the limit ends, load comes back
+  Scenario: When the limit ends, load returns
     Given 7 processes, and a first upstream that will announce a limit of 0 a second
     When callers keep asking for stream while the limit ends after 6 seconds
     Then the first upstream gets a share of all requests again
 
-  # Every upstream that began paths named 2.3 a second for a whole day: 0.39 of all requests were
-  # refused, 0.51 served, while the other upstreams stood idle behind them.
-  Scenario: Where a limit lasts, another upstream begins paths as well
+  # Every first stage announced 2.3 a second for a whole day: 0.39 of all requests were refused and 0.51
+  # served, while the other upstreams were idle.
+  Scenario: If a limit lasts, another upstream becomes a first stage as well
     Given 3 processes, and upstreams that will all announce a limit of 2.3 a second, and spare ones
     When callers keep asking all processes for stream
     Then no upstream got more requests than its rate limit allows
     And other upstreams began paths 6 to 12 seconds after the limit, by at most 6 orders
     And 0.9 of the callers were served at the end
 
-  # An upstream that holds no first layers gets questions and orders alone. It had named a limit, and
-  # all processes but the one that had heard it by a question kept to it for ever; plans gave it layers
-  # nine times in 12 s, and each time the token went to the question how many orders it had taken:
+  # An upstream without first layers gets only queries and orders. It had announced a limit, which all
+  # processes kept forever, except the one that had learned it from a reply to a query. Plans assigned it
+  # layers nine times in 12 s, and each time the token was spent on the query for its order count:
   #   391.404 e2 upstream-limit rate=0.0 version=2 source=answer
   #   398.538 e2 plan lb3.0 7-8 (restores 7-8)   399.880 e1 plan lb3.0 7-8 (restores 7-8)
-  Scenario Outline: An upstream that names <rate> a second is given layers that were lost
+  Scenario Outline: An upstream that announces <rate> a second is ordered to load lost layers
     Given 3 processes, and upstreams that will all announce a limit of <rate> a second, and spare ones
     When callers keep asking for stream while a part is lost for good
     Then no upstream got more requests than its rate limit allows
--- a/features/rate_sharing.feature
+++ b/features/rate_sharing.feature
@@ -1,6 +1,6 @@
-Feature: Many processes share the rate that one upstream takes
+Feature: Many processes share the rate limit of one upstream
 
-  Scenario Outline: While callers wait, no more than the rate and 3 in 4 seconds, and 0.85 of it used: <case>
+  Scenario Outline: While callers wait, the rate plus 3 is not exceeded in 4 seconds, and 0.85 of it is used: <case>
     Given <count> processes before an upstream that accepts <rate> a second, <lost> of datagrams lost
     When callers come <demand> a second, <how>
     Then no 4 seconds had more requests than the rate allows plus 3
@@ -19,7 +19,7 @@
       | datagrams lost        | 7     | 8    | 0.02 | 40     | evenly                   |
       | tokens not used       | 7     | 8    | 0    | 40     | a third leave meanwhile  |
 
-  Scenario Outline: No more than the rate and 3 in 4 seconds while <what>: <count> processes
+  Scenario Outline: The rate plus 3 is not exceeded in 4 seconds while <what>: <count> processes
     Given <count> processes before an upstream that accepts <rate> a second, 0.01 of datagrams lost
     When callers come 40 a second, evenly, and <what>
     Then no 4 seconds had more requests than the rate allows plus 3
@@ -40,26 +40,26 @@
       | all are killed and start again            | 7     | 8    |
       | the store loses what it answers           | 7     | 8    |
 
-  # An entry that started while the store refused everything had missed the news of a limit, and there
-  # was no issuer to repeat them: it heard by an answer of its own 4 s later, after 8 sendings (0.7 a
-  # second). The log of the soak, seconds:
+  # An entry process that started while the store was unavailable had missed the broadcast of a limit, and
+  # there was no issuer to repeat it. It learned the limit of 0.7 a second from a response 4 s later, after
+  # 8 requests. The log of the soak test, seconds:
   #   49.483 e0 upstream-limit rate=0.7 version=1 source=answer
   #   53.589 e2 upstream-limit rate=0.7 version=1 source=answer
-  Scenario: A process that starts while the store is dark hears of the limits from its peers
+  Scenario: A process that starts while the store is unavailable gets the limits from its peers
     Given 7 processes before an upstream that accepts 0.7 a second, 0 of datagrams lost
     When the store is unavailable before the limit is known, and a process starts after it
     Then the process knows the limit within 0.5 seconds, from a peer
 
-  Scenario: A token is of no use to a process that stood still meanwhile
+  Scenario: A token expires while its process is suspended
     Given 3 processes before an upstream that accepts 2.3 a second, 0 of datagrams lost
     Then a token acquired 0.3 seconds ago can't be used
 
-  Scenario: Nothing is saved up beyond two sendings while no caller comes
+  Scenario: At most two unused tokens are saved while there are no callers
     Given 3 processes before an upstream that accepts 20 a second, 0 of datagrams lost
     When a caller comes each second for a while, and then 100 at once
     Then at most 4 of the hundred were sent within 0.05 seconds
 
-  Scenario Outline: What an upstream names is <text>
+  Scenario Outline: The limit in a response is <text>
     Then responses with the limit <text> are read as <rate>, <malformed> malformed headers
 
     Examples:
@@ -81,7 +81,7 @@
       | soon / 2.3       | 2.3     | with      |
       | 2.3 in a 421     | nothing | without   |
 
-  Scenario Outline: Which answer counts: <case>
+  Scenario Outline: Which response determines the limit: <case>
     Given a process that received <heard>
     Then its limit is <rate>
 
@@ -101,13 +101,13 @@
       | a peer with a later end           | 5, then the end from a peer               | nothing |
       | an unreadable one ends nothing    | 5, then unreadable                        | 5       |
 
-  Scenario: A thousand changes a second are told and logged a few times, and memory stays bounded
+  Scenario: A thousand changes a second are broadcast and logged a few times, and memory is bounded
     Given 3 processes before an upstream that accepts 2.3 a second, 0 of datagrams lost
     When a process receives a limit from 5000 upstreams, and 1000 from one more within a second
     Then it retains at most 4096 limits
     And it logged the one upstream at most 7 times
 
-  Scenario: Datagrams about limits that nobody of ours sent
+  Scenario: Datagrams about limits from unknown senders
     Given 3 processes before an upstream that accepts 2.3 a second, 0 of datagrams lost
     When malformed datagrams about limits arrive
     Then they are counted and the limit still holds
--- a/features/rate_world.py
+++ b/features/rate_world.py
@@ -1,6 +1,6 @@
-"""Several processes before runners that name a rate limit, on a virtual clock.
+"""Several gateway processes and runners that announce a rate limit, on a virtual clock.
 
-Scenarios judge by what reached the runners: callers' requests, questions and orders alike.
+Scenarios check what reached the runners: callers' requests, queries and orders alike.
 """
 
 import trio
@@ -8,18 +8,18 @@
 from gateway_world import Got
 
 WINDOW_SECONDS = 4.0
-# From the first answer that names a limit until the bound holds, seconds.
+# Time from the first response that announces a limit until the bound holds, seconds.
 CONTACT_SECONDS = 3.0
-# What may come in a window beyond the rate.
+# Requests allowed in a window beyond the rate.
 SLACK = 3
-# The part of a limit that is used while callers wait.
+# Minimum share of a limit that is used while callers wait.
 USED_SHARE = 0.85
-# What was on its way while an answer came counts as sent before it, seconds.
-AT_ONCE_SECONDS = 0.01
+# Requests that arrive within this time of a response count as sent before it, seconds.
+IMMEDIATE_SECONDS = 0.01
 
 
 class RateWorld(CrashWorld):
-    """Two chains and two plain runners, before them some processes of two failure domains."""
+    """Two chains and two plain runners, and several gateway processes in two failure domains."""
 
     def __init__(self, processes=7):
         super().__init__()
@@ -29,20 +29,21 @@
         self.named_at = float("inf")
 
     def limit(self, names, *rates):
-        """Let some runners name rate limits in every answer from now on."""
+        """Make some runners announce rate limits in every response from now on."""
         self.named_at = min(self.named_at, trio.current_time())
         for name in names:
             self.runners[name].rate_limits = rates
 
     def sendings(self, name):
-        """Return when anything reached a runner, in order."""
+        """Return the arrival times of all messages at a runner, sorted."""
         reached = [*self.arrivals, *self.questions]
         return sorted(each.at for each in reached if each.instance.partition("+")[0] == name)
 
     def most_in_window(self, name, since=None):
-        """Return the most sendings that reached a runner in a window after a moment.
+        """Return the maximum number of messages that reached a runner in a window.
 
-        By default the bound holds from some time after the first answer that named a limit.
+        Only windows after `since` count, by default some time after the first response that
+        announced a limit.
         """
         since = self.named_at + CONTACT_SECONDS if since is None else since
         times = [at for at in self.sendings(name) if at > since]
@@ -51,18 +52,18 @@
         )
 
     def used(self, name, rate, since, until):
-        """Return the part of a limit that callers' requests used between two moments."""
+        """Return the share of a limit that callers' requests used between two times."""
         count = sum(each.instance == name and since <= each.at < until for each in self.arrivals)
         return count / (rate * (until - since))
 
     async def keep_asking(self, route, rate, seconds, share_of_first=None):
-        """Let callers ask at the living processes; return once all have an answer.
+        """Send callers' requests to the live processes; return once all have a response.
 
         Args:
-          route: what is asked for.
+          route: the route requested.
           rate: requests a second over all processes, evenly spaced.
-          seconds: for how long.
-          share_of_first: the part that comes to the first process, None for an equal part.
+          seconds: the duration.
+          share_of_first: the share sent to the first process, None for an equal share.
         """
         async with trio.open_nursery() as nursery:
             begun, number = trio.current_time(), 0
@@ -85,6 +86,6 @@
         self.got.append((began, got))
 
     def served(self, since=float("-inf")):
-        """Return the part of the callers since a moment that were served whole."""
+        """Return the share of the callers since a given time that got a complete response."""
         got = [each for at, each in self.got if at >= since]
         return sum(each.status == 200 and each.whole for each in got) / max(1, len(got))
--- a/features/restarts.feature
+++ b/features/restarts.feature
@@ -1,10 +1,10 @@
-Feature: An upstream that starts again under its id is another upstream
+Feature: An upstream that restarts under its id is a new incarnation
 
-  An upstream's id was new at each start, and 25 places of the gateway rested on that. Users now let
-  an upstream start again under the id that it had: it holds and knows nothing of before, and what
-  tells the two starts apart is `born` in all that it says.
+  The id of an upstream used to be new for each incarnation, and 25 places of the gateway relied on it.
+  An upstream may now restart under its old id, without its former layers and requests. The start time
+  `born` in its rows and replies distinguishes the incarnations.
 
-  Scenario: What is said of one start changes nothing that is known of a newer one
+  Scenario: A report about an incarnation doesn't change what is known of a newer one
     Then after these reports about one id this start time is known
       | said                                             | known |
       | row 5                                            | 5     |
@@ -47,7 +47,7 @@
       | row 5, row text                                  | none  |
       | row 5, row null                                  | none  |
 
-  Scenario: A question to one start that another one answers has no answer
+  Scenario: A reply from another incarnation than the addressed one counts as no reply
     Then each reply has this result
       | asked | answers  | report     | pulse  | place      | move       |
       | 5     | 5        | 3 orders   | alive  | taken      | moved      |
@@ -56,7 +56,7 @@
       | 5     | 4        | unanswered | alive  | unanswered | unanswered |
       | none  | 5        | 3 orders   | alive  | taken      | moved      |
 
-  Scenario: Ids that look like an id with its start are told apart
+  Scenario: Ids that look like an id with its start time are distinct
     Then upstreams with these ids and start times are distinct, each with its own id on the wire
       | id    | born |
       | a     | 5    |
@@ -66,7 +66,7 @@
       | b     |      |
       | @     | 1    |
 
-  Scenario Outline: <part> starts again under a stream, its connections <connections>, told by <told>
+  Scenario Outline: <part> restarts during a stream, its connections <connections>, reported by <told>
     Given two chains of runners that report their start times
     When <part> restarts after 5 events, its connections <connections>, and <told> reports it
     Then the caller got every event once, with no pause over <pause> seconds
@@ -84,12 +84,12 @@
       | x2   | go silent   | its row      | 0.2   |
       | x2   | go silent   | a late row   | 0.4   |
 
-  Scenario: Runs at starts that ended are gone, however often a stream meets that
+  Scenario: Attempts at ended incarnations are dropped, however often a stream meets a restart
     Given two chains of runners that report their start times
     When the first stage of a stream restarts three times during the stream
     Then the caller got every event once, with no pause over 0.3 seconds
 
-  Scenario Outline: A gap after a restart is planned at once: told by <told>
+  Scenario Outline: A gap after a restart is planned at once: reported by <told>
     Given a chain of runners that report their start times, each with room for all layers
     When x2 restarts and <told> reports it
     Then every layer is ordered again within <late> seconds of that report
@@ -99,17 +99,17 @@
       | its row  | 0.5  |
       | a report | 0.5  |
 
-  Scenario: An order given to the older start and taken by the newer is under way for neither
+  Scenario: An order sent to the older incarnation and accepted by the newer is in flight for neither
     Given a chain of runners that report their start times, and an empty one to fill a gap
     When x2 is lost, and x3 restarts and accepts the order meant for its older incarnation
     Then x3 got another order within 0.6 seconds of its row, though a load takes 4 seconds
 
-  Scenario: A row that is missing at the store's return may be that of a start that ended
+  Scenario: A row that is missing when the store recovers may be that of an ended incarnation
     Given two chains of runners that report their start times
     When the row of x2 is missing at the store's return and x2 started again
     Then its layers are ordered elsewhere between 0 and 0.8 seconds after it
 
-  Scenario: A peer that still passes an older start on brings nothing back
+  Scenario: A peer that still forwards an older incarnation doesn't revive it
     Then after these updates from peers about one id this start time is known
       | told                           | known |
       | changes 5, changes 7           | 7     |
@@ -119,12 +119,12 @@
       | changes 7, all 5               | 7     |
       | changes 7, changes 5           | 7     |
 
-  Scenario: While the store is away an upstream that started again gets nothing until its row comes
+  Scenario: In a store outage an upstream that restarted gets nothing until its row arrives
     Given two chains of runners that report their start times
     When x2 restarts while the store is unavailable and only a report shows it
     Then streams run in domain y from that report on, and x2 is usable after the store's return
 
-  Scenario: Kept connections to the older start are closed
+  Scenario: Idle connections to the older incarnation are closed
     Given a plain upstream that reports its start time
     When it restarts between two calls without closing its connections
     Then the second call was answered within 0.2 seconds
--- a/features/steps/crash_evidence_steps.py
+++ b/features/steps/crash_evidence_steps.py
@@ -1,4 +1,4 @@
-"""Steps about which runs count as evidence that a request ended an upstream."""
+"""Steps about which attempts count as evidence that a request crashed an upstream."""
 
 from types import SimpleNamespace
 
@@ -40,7 +40,7 @@
 class NullPeerGossip:
     """Sends nothing to peers."""
 
-    def share_crashes(self, hear, crashes):
+    def share_crashes(self, on_crash, crashes):
         pass
 
     async def tell_crash(self, crash):
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -1,4 +1,4 @@
-"""Steps about requests that end the upstreams that run them."""
+"""Steps about requests that crash the upstreams that execute them."""
 
 import json
 
@@ -6,11 +6,11 @@
 from behave import given, then, when
 from crash_world import DEADLY, CrashWorld
 
-# What tells a caller that its request ends upstreams.
+# The reason in the refusal of a request that crashes upstreams.
 REASON = "ends-upstreams"
-# Between two other requests at one process, seconds.
-OTHERS_SECONDS = 0.2
-AT_ONCE_SECONDS = 0.01
+# Interval between other callers' requests, seconds.
+OTHERS_INTERVAL_SECONDS = 0.2
+IMMEDIATE_SECONDS = 0.01
 
 
 @given("three gateway processes and upstreams that some requests crash")
@@ -72,7 +72,7 @@
 
 
 async def keep_sending(context, site, route, seconds, body=DEADLY):
-    """Send one request again and again, each time under another id and to another process."""
+    """Send one request repeatedly, each time under another id and to another process."""
     until, number = trio.current_time() + seconds, 0
     async with trio.open_nursery() as nursery:
         while trio.current_time() < until:
@@ -81,10 +81,10 @@
             await trio.sleep(0.7)
 
 
-async def send(site, kept, number, route, name, body):
+async def send(site, responses, number, route, name, body):
     began = trio.current_time()
     process = site.processes[number % len(site.processes)]
-    kept.append((began, await site.ask_at(process, route, name, body)))
+    responses.append((began, await site.ask_at(process, route, name, body)))
 
 
 async def keep_others(context, site, route, seconds):
@@ -94,7 +94,7 @@
             body = f"other {number}".encode()
             nursery.start_soon(send, site, context.others, number, route, f"o{number}", body)
             number += 1
-            await trio.sleep(OTHERS_SECONDS)
+            await trio.sleep(OTHERS_INTERVAL_SECONDS)
 
 
 @when(
@@ -126,7 +126,7 @@
 
 
 async def keep_sending_same(context, site, seconds, gap):
-    """Let callers of all processes send one and the same request, many at a time."""
+    """Send the same request from many concurrent callers to all processes."""
     until, number = trio.current_time() + seconds, 0
     async with trio.open_nursery() as nursery:
         while trio.current_time() < until:
@@ -136,7 +136,7 @@
 
 
 def end_first(site, domain):
-    """End the first upstream of a domain by itself."""
+    """End the first stage of a domain, not caused by a request."""
     runner = next(
         each
         for each in site.runners.values()
@@ -158,7 +158,7 @@
 
 
 async def reset_three_times(site):
-    # What counts from here on is the first end that there would be.
+    # Stands for the first crash, from which on other callers are checked.
     site.crash_nothing()
     for _ in range(3):
         await trio.sleep(0.7)
@@ -201,7 +201,7 @@
 
 
 @then("upstreams received only requests that callers sent")
-def nothing_unasked(context):
+def only_callers_requests(context):
     unasked = [each for each in context.site.arrivals if each.request not in context.site.bodies]
     assert context.site.arrivals and not unasked, (len(unasked), unasked[:3])
 
@@ -232,7 +232,7 @@
 
 
 @then("it crashed at most {most:d} upstreams")
-def ends_bounded(context, most):
+def crashes_bounded(context, most):
     ends = context.site.ends_under(DEADLY)
     assert len(ends) <= most, (len(ends), [(each.instance, round(each.at, 2)) for each in ends])
 
@@ -245,7 +245,7 @@
 
 
 @then("no other caller was refused because of crashes")
-def others_not_told(context):
+def others_not_refused(context):
     assert context.others
     told = [got for _, got in context.others if reason_of(got) == REASON]
     assert not told, (len(told), len(context.others))
@@ -266,5 +266,5 @@
     assert len(later) > 5
     for got in later:
         assert got.status == 503 and reason_of(got) == REASON, got
-        assert got.seconds <= AT_ONCE_SECONDS, got.seconds
+        assert got.seconds <= IMMEDIATE_SECONDS, got.seconds
         assert float(context.site.header(got, "retry-after")) > 0
--- a/features/steps/lapsed_rows_steps.py
+++ b/features/steps/lapsed_rows_steps.py
@@ -1,4 +1,4 @@
-"""Steps about upstreams whose rows are missing when the store comes back."""
+"""Steps about upstreams whose rows are missing when the store recovers."""
 
 import trio
 from behave import then, when
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -1,4 +1,4 @@
-"""Steps about upstreams that leave and stops that are planned."""
+"""Steps about leaving upstreams and planned stops."""
 
 from dataclasses import replace
 
--- a/features/steps/notice_steps.py
+++ b/features/steps/notice_steps.py
@@ -1,4 +1,4 @@
-"""Steps about upstreams that ask for time without requests, or say that they leave."""
+"""Steps about upstreams that request a backoff or announce their shutdown."""
 
 import json
 
@@ -10,12 +10,12 @@
 from hypothesis import settings, strategies
 from notice_happenings import HAPPENINGS, row, table
 from notice_world import (
-    AT_ONCE_SECONDS,
     FIRST,
-    WAY_SECONDS,
+    IMMEDIATE_SECONDS,
+    IN_FLIGHT_SECONDS,
     arrivals_after_leaving,
-    arrivals_while_asked,
-    first_ones,
+    arrivals_during_backoff,
+    first_upstreams,
     keep_asking,
     site_with_notices,
 )
@@ -27,17 +27,17 @@
 from deckcourse.platform.notices import LONGEST_BACKOFF_SECONDS, notice_of
 
 MANY_DIGITS = "9" * 401
-# The headers of a refusal that don't stand in the table as they are.
+# Header values that are too long for the table, by the text that stands for them.
 ODD_ASKS = {"9 and 400 more digits": (MANY_DIGITS,)}
-# A wish that counts for nothing: the upstream is asked again within the longest guess.
-SOON_SECONDS = 0.7
-# How exactly the next request comes when a time is over, seconds: callers come 0.05 s apart.
-NEXT_SECONDS = 0.1
+# Maximum pause without a valid Retry-After, the longest default backoff, seconds.
+MAX_DEFAULT_PAUSE_SECONDS = 0.7
+# Maximum delay of the next request after a backoff, seconds: callers come 0.05 s apart.
+MAX_DELAY_SECONDS = 0.1
 
 
 @given("upstreams of which the first one refuses requests with Retry-After {asks}")
 def first_asks(context, asks):
-    for runner in first_ones(site_with_notices(context)):
+    for runner in first_upstreams(site_with_notices(context)):
         runner.behaviour = "full"
         runner.asks = ODD_ASKS.get(asks, tuple(asks.split(" / ")))
 
@@ -72,7 +72,7 @@
 def comes_back(context, seconds):
     site = context.site
     refused = [got for _, got in context.notices.got if got.status == 503]
-    assert refused and arrivals_while_asked(site, "x1") == []
+    assert refused and arrivals_during_backoff(site, "x1") == []
     told = float(site.header(refused[0], "retry-after"))
     assert 0 < told <= seconds, told
 
@@ -84,7 +84,7 @@
 
 @given("upstreams of which the first one sends Retry-After 3 in the response to {answer}")
 def asks_in_control(context, answer):
-    runner, _ = first_ones(site_with_notices(context))
+    runner, _ = first_upstreams(site_with_notices(context))
     runner.asks, runner.refuses_control = ("3",), True
     context.control_call = answer
 
@@ -92,7 +92,7 @@
 @given("upstreams of which the first one announces its shutdown in the response to {answer}")
 def says_leaving(context, answer):
     context.control_call = ""
-    for runner in first_ones(site_with_notices(context)):
+    for runner in first_upstreams(site_with_notices(context)):
         runner.says_leaving = True
         if answer == "a call that fails":
             runner.behaviour = "fails"
@@ -140,7 +140,7 @@
 
 
 async def before(context, site, route):
-    """Let the first upstream be asked once, and what a scenario names happen after it."""
+    """Send one request to the first upstream, then apply the event of the scenario."""
     if getattr(context, "happens", ""):
         await site.ask(route, name="c-first")
         await HAPPENINGS[context.happens](site, FIRST[route])
@@ -231,7 +231,7 @@
 def rest_kept(context):
     name = FIRST[context.notices.route]
     assert_was_asked(context, name)
-    late = arrivals_while_asked(context.site, name)
+    late = arrivals_during_backoff(context.site, name)
     assert not late, (len(late), late[:3], context.site.lines[-5:])
 
 
@@ -239,7 +239,7 @@
 def rests_kept(context):
     rest_kept(context)
     for name in context.site.runners:
-        assert not arrivals_while_asked(context.site, name)
+        assert not arrivals_during_backoff(context.site, name)
 
 
 @then("the first one got requests again after its backoff")
@@ -268,15 +268,15 @@
     names = {"stream": ("x1", "y1")}.get(context.notices.route, ("p1", "p2"))
     opens = min(firsts[name] for name in names)
     all_asked = max(each.at for each in site.asked)
-    later = [(at, got) for at, got in context.notices.got if at > all_asked + WAY_SECONDS]
+    later = [(at, got) for at, got in context.notices.got if at > all_asked + IN_FLIGHT_SECONDS]
     assert len(later) > 20, len(later)
     for at, got in later:
-        assert got.status == 503 and got.seconds <= AT_ONCE_SECONDS, got
+        assert got.status == 503 and got.seconds <= IMMEDIATE_SECONDS, got
         back = at + float(site.header(got, "retry-after"))
-        assert opens - WAY_SECONDS <= back, (at, back, opens)
-    # The first who come back meet the end of that time, the rest in turn after them.
+        assert opens - IN_FLIGHT_SECONDS <= back, (at, back, opens)
+    # The first callers may retry when that backoff ends, the others one after the other.
     first_back = min(at + float(site.header(got, "retry-after")) for at, got in later)
-    assert first_back <= opens + SOON_SECONDS, (first_back, opens)
+    assert first_back <= opens + MAX_DEFAULT_PAUSE_SECONDS, (first_back, opens)
 
 
 @then("every later caller was refused within 0.01 seconds")
@@ -285,9 +285,9 @@
     firsts = {each.instance: each.at for each in reversed(site.told_leaving)}
     assert names <= set(firsts), firsts
     told = max(firsts[name] for name in names)
-    later = [got for at, got in context.notices.got if at > told + WAY_SECONDS]
+    later = [got for at, got in context.notices.got if at > told + IN_FLIGHT_SECONDS]
     assert later and all(got.status == 503 for got in later), later[:3]
-    assert all(got.seconds <= AT_ONCE_SECONDS for got in later)
+    assert all(got.seconds <= IMMEDIATE_SECONDS for got in later)
 
 
 @then(
@@ -302,7 +302,7 @@
     elif seconds.startswith("less than"):
         assert pause is not None and pause < float(seconds.split()[-1]), at[:3]
     else:
-        assert pause is not None and 0.0 <= pause - float(seconds) < NEXT_SECONDS, at[:3]
+        assert pause is not None and 0.0 <= pause - float(seconds) < MAX_DELAY_SECONDS, at[:3]
     counted = site.counters.counts.get("malformed.notice", 0)
     assert (counted > 0) == (malformed == "with"), counted
 
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -1,4 +1,4 @@
-"""Steps about what is known of requests that end upstreams: told, kept, listed and released."""
+"""Steps about crash evidence: how it is reported, stored, listed and released."""
 
 import json
 
@@ -25,7 +25,7 @@
 
 
 async def ask_peer(site, process, method, target):
-    """Send a request to where a process listens to others; return the status and the body."""
+    """Send a request to the peer address of a process; return the status and the body."""
     pool = ConnectionPool(lambda what: None, site.network.dial)
     async with pool.lent(process.peer_address) as connection:
         reply = await connection.call(method, target, ((b"host", b"x"),), b"")
@@ -77,7 +77,7 @@
         async with trio.open_nursery() as nursery:
             for second in range(seconds):
                 for number, process in enumerate([*site.processes, *site.processes]):
-                    # The first two alone convict it; later ones come all at once.
+                    # The first two alone confirm it as suspect; later ones are sent all at once.
                     if second >= 2 or number == 0:
                         name = f"d{second}-{number}"
                         nursery.start_soon(site.ask_at, process, "stream", name, DEADLY)
@@ -111,7 +111,7 @@
 )
 
 
-def known(crashes):
+def counted(crashes):
     evidence = CrashEvidence(lambda: 5.0)
     for each in crashes:
         evidence.record(each)
@@ -128,7 +128,7 @@
     def check(crashes, random):
         shuffled = [*crashes, *random.choices(crashes, k=3)] if crashes else []
         random.shuffle(shuffled)
-        assert known(crashes) == known(shuffled)
+        assert counted(crashes) == counted(shuffled)
 
     check()
 
@@ -153,8 +153,8 @@
 def chain_counts(context):
     for row in context.table:
         evidence = CrashEvidence(lambda: 5.0)
-        for told in row["told"].split(", "):
-            instance, known_ends = told.split()
+        for report in row["told"].split(", "):
+            instance, known_ends = report.split()
             evidence.record(Crash(ONE, instance, int(known_ends)))
         assert evidence.crash_count(ONE) == int(row["ends"]), (row, evidence.crash_count(ONE))
 
--- a/features/steps/rate_limit_steps.py
+++ b/features/steps/rate_limit_steps.py
@@ -1,18 +1,18 @@
-"""Steps about upstreams that name a rate limit for all processes together."""
+"""Steps about upstreams that announce a rate limit for all processes together."""
 
 import trio
 from behave import given, then, when
 from crash_world import DEADLY
-from rate_world import AT_ONCE_SECONDS, CONTACT_SECONDS, SLACK, USED_SHARE, RateWorld
+from rate_world import CONTACT_SECONDS, IMMEDIATE_SECONDS, SLACK, USED_SHARE, RateWorld
 
-# The runner that names a limit, by the route that leads to it, and all first runners of that route.
+# By route: the runner that announces a limit, and all first runners.
 FIRST = {"stream": "x1", "once": "px", "again": "px"}
 ALL = {"stream": ("x1", "y1"), "once": ("px", "py"), "again": ("px", "py")}
-ASKED_SECONDS = 14.0
-# How much later than a token comes free a caller may be told to come, seconds.
-LATE_SECONDS = 1.5
-# Until the end of a limit of nothing is known, seconds.
-LONGEST_UNKNOWN_SECONDS = 5.0
+CALLERS_SECONDS = 14.0
+# Maximum delay of a Retry-After beyond the time at which a token is free, seconds.
+MAX_DELAY_SECONDS = 1.5
+# Maximum time until the end of a limit of 0 is detected, seconds.
+MAX_DETECTION_SECONDS = 5.0
 
 
 @given(
@@ -45,8 +45,8 @@
     return ALL[context.route] if context.all_limited else (FIRST[context.route],)
 
 
-async def callers_meet_limits(context, happening=None, share_of_first=None, demand=24.0):
-    """Let callers ask for some seconds without a limit and then with one."""
+async def callers_meet_limits(context, fault=None, share_of_first=None, demand=24.0):
+    """Send callers' requests for some seconds without a limit and then with one."""
     site = context.site
     if context.route != "stream":
         for runner in site.runners.values():
@@ -55,10 +55,10 @@
     site.limit(limited_names(context), f"{context.rate:g}")
     context.limited_since = trio.current_time() + CONTACT_SECONDS
     async with trio.open_nursery() as nursery:
-        if happening is not None:
-            nursery.start_soon(happening, site)
-        await site.keep_asking(context.route, demand, ASKED_SECONDS, share_of_first)
-    context.limited_until = context.limited_since + ASKED_SECONDS - CONTACT_SECONDS
+        if fault is not None:
+            nursery.start_soon(fault, site)
+        await site.keep_asking(context.route, demand, CALLERS_SECONDS, share_of_first)
+    context.limited_until = context.limited_since + CALLERS_SECONDS - CONTACT_SECONDS
 
 
 @when("callers keep asking all processes for {route}")
@@ -227,13 +227,13 @@
     assert refused
     for got in refused:
         assert got.status == 503, got
-        assert got.seconds <= AT_ONCE_SECONDS, got.seconds
+        assert got.seconds <= IMMEDIATE_SECONDS, got.seconds
         back = float(site.header(got, "retry-after"))
-        assert 0.0 < back <= LATE_SECONDS + 0.3 * 20.0, back
-    # Each moment is told once: the first ones refused are told the earliest.
+        assert 0.0 < back <= MAX_DELAY_SECONDS + 0.3 * 20.0, back
+    # Each retry time is given out once: the first refused callers get the earliest.
     all_refused = [got for _, got in site.got if got.status != 200]
     earliest = min(float(site.header(got, "retry-after")) for got in all_refused)
-    assert earliest <= LATE_SECONDS, earliest
+    assert earliest <= MAX_DELAY_SECONDS, earliest
 
 
 @then("it was queried about them")
@@ -258,8 +258,8 @@
 @then("the first upstream gets a share of all requests again")
 def comes_back(context):
     site = context.site
-    # A limit of nothing is asked about once in some seconds.
-    since = site.ended_at + LONGEST_UNKNOWN_SECONDS
+    # Under a limit of 0 the upstream gets a query once in some seconds.
+    since = site.ended_at + MAX_DETECTION_SECONDS
     begun = [each for each in site.arrivals if each.at >= since and each.instance in ALL["stream"]]
     own = sum(each.instance == "x1" for each in begun)
     assert begun and own >= 0.2 * len(begun), (own, len(begun))
--- a/features/steps/rate_sharing_steps.py
+++ b/features/steps/rate_sharing_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the rate that one upstream takes of many processes."""
+"""Steps about the rate limit that many processes share for one upstream."""
 
 import re
 
@@ -22,7 +22,7 @@
 WINDOW_SECONDS = 4.0
 SLACK = 3
 USED_SHARE = 0.85
-# Until an issuer is there after the limit is known, seconds.
+# Time until there is an issuer after the limit is known, seconds.
 ELECTION_SECONDS = 3.0
 MEASURED_SECONDS = 18.0
 FAULT_SECONDS = 6.0
@@ -36,15 +36,15 @@
     context.site = TokenWorld(count, rate, lost)
 
 
-async def callers_come(context, demand, share=None, happening=None):
+async def callers_come(context, demand, share=None, fault=None):
     site = context.site
-    site.tell_all()
+    site.record_limit_everywhere()
     async with trio.open_nursery() as nursery:
         nursery.start_soon(site.callers, demand, ELECTION_SECONDS + MEASURED_SECONDS, share)
         await trio.sleep(ELECTION_SECONDS)
         context.since = trio.current_time()
-        if happening is not None:
-            await happening(site)
+        if fault is not None:
+            await fault(site)
         context.over_at = trio.current_time()
     context.until = context.since + MEASURED_SECONDS
 
@@ -55,8 +55,8 @@
     how, _, what = how.partition(", and ")
     share = 0.5 if how == "half of them to one" else None
     site.unused_share = 0.33 if "leave" in how else 0.0
-    happening = HAPPENINGS[what] if what else None
-    site.play(lambda _: callers_come(context, demand, share, happening))
+    fault = FAULTS[what] if what else None
+    site.play(lambda _: callers_come(context, demand, share, fault))
 
 
 async def third_cut(site):
@@ -119,7 +119,7 @@
 
 
 async def answers_lost(site):
-    """Let the store do what it is asked and answer nothing of it."""
+    """Make the store execute transactions but lose its replies."""
     usual = site.store.transact
 
     async def transact(writes):
@@ -139,7 +139,7 @@
     site.calls_at_end = site.store.reads + site.store.transactions
 
 
-HAPPENINGS = {
+FAULTS = {
     "a third is cut off from the others": third_cut,
     "the issuer is cut off from the others": issuer_cut,
     "the issuer loses the store": issuer_without_store,
@@ -183,7 +183,7 @@
 def starts_in_the_dark(context):
     async def story(site):
         site.store.away = True
-        site.tell_all()
+        site.record_limit_everywhere()
         await trio.sleep(1.0)
         site.restart(site.processes[4])
         await trio.sleep(0.5)
@@ -202,7 +202,7 @@
 @then("a token acquired {seconds:g} seconds ago can't be used")
 def stale_token(context, seconds):
     async def story(site):
-        site.tell_all()
+        site.record_limit_everywhere()
         await trio.sleep(ELECTION_SECONDS)
         for process in site.processes:
             token = None
@@ -219,7 +219,7 @@
 @when("a caller comes each second for a while, and then 100 at once")
 def hundred_at_once(context):
     async def story(site):
-        site.tell_all()
+        site.record_limit_everywhere()
         await site.callers(1, 20.0)
         context.since = trio.current_time()
         async with trio.open_nursery() as nursery:
@@ -230,7 +230,7 @@
 
 
 @then("at most {most:d} of the hundred were sent within 0.05 seconds")
-def none_saved(context, most):
+def few_saved(context, most):
     sent = [at for at, _ in context.site.sent if context.since <= at < context.since + 0.05]
     assert 1 <= len(sent) <= most, len(sent)
 
@@ -246,7 +246,7 @@
 
 
 @given("a process that received {heard}")
-def hears(context, heard):
+def receives_limits(context, heard):
     clock = iter(range(1000))
     now = [0.0]
     upstreams = UpstreamTable(lambda: now[0])
@@ -274,7 +274,7 @@
 
 
 @when("a process receives a limit from 5000 upstreams, and 1000 from one more within a second")
-def floods(context):
+def receives_many_limits(context):
     async def story(site):
         process = site.processes[0]
         for number in range(5000):
@@ -302,7 +302,7 @@
 @when("malformed datagrams about limits arrive")
 def strange(context):
     async def story(site):
-        site.tell_all()
+        site.record_limit_everywhere()
         await trio.sleep(ELECTION_SECONDS)
         target = site.processes[0].address
         request = encode_message(TokenRequest(1, "nobody:1", RateLimit(UPSTREAM, 1, 2.3)))
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -1,4 +1,4 @@
-"""Steps about upstreams that start again under their id."""
+"""Steps about upstreams that restart under their id."""
 
 import json
 from contextlib import suppress
@@ -21,21 +21,21 @@
 from deckcourse.platform.dialect import PlatformDialect
 from deckcourse.platform.rows import PlatformRows
 
-# Values of `born` that are no whole number, and one that is left out.
+# Values of `born` that are not integers, and the word for a missing one.
 ODD = {"fraction": 5.5, "text": "7", "null": None}
 NAMELESS = "nameless"
 SERVICE = "crm"
 
 
 def start_of(word):
-    """Return the part of what a runner says that tells its start."""
+    """Return the fields of a runner's message that hold its start time."""
     if word == NAMELESS:
         return {}
     return {"born": ODD[word] if word in ODD else int(word)}
 
 
-class SaidRunner:
-    """A runner whose every answer tells a given start, and that may turn orders down."""
+class ReportingRunner:
+    """A runner whose replies all report a given start time, and that may refuse orders."""
 
     def __init__(self):
         self.start, self.status, self.seen = {}, 202, []
@@ -57,13 +57,13 @@
 
 
 def listed(site, name):
-    """Return what the gateway knows of a runner of layers."""
+    """Return the gateway's row of a runner with layers."""
     rows = site.node.gateway.context.upstreams.of_service("llm")
     return next(each for each in rows if each.address == f"{name}:1")
 
 
 def usable_starts(site, name):
-    """Return the starts of a runner of layers that may get new work."""
+    """Return the start times of the usable incarnations of a runner with layers."""
     rows = site.node.gateway.context.upstreams.usable("llm")
     return [each.start for each in rows if each.address == f"{name}:1"]
 
@@ -80,8 +80,8 @@
 MOVED = LayerPath((PathPart("p", "p:1", 0, LAYERS),), "x", 0, 1.0)
 
 
-async def believed(site, what, upstream):
-    """Ask an upstream or give it an order; return what is believed after it."""
+async def exchange_with(site, what, upstream):
+    """Send an upstream a query or an order; return the result."""
     if what == "report":
         count = await site.control.order_count(upstream)
         return "unanswered" if count is None else f"{count} orders"
@@ -93,25 +93,25 @@
     return str(result)
 
 
-async def say(site, runner, said, asked):
-    """Let one thing be said of the upstream; `asked` are the rows known so far."""
+async def apply_report(site, runner, said, asked):
+    """Apply one report about the upstream; `asked` are the rows known so far."""
     what, _, word = said.rpartition(" ")
     if said == "gone":
         site.store.put("servers", "p", None)
     elif what == "row":
         site.store.put("servers", "p", row_of("p", start_of(word)))
     elif what == "all rows":
-        # A source that knows no changes tells all of its rows.
+        # A source without a change history sends all of its rows.
         site.store.tells_all_rows = True
         site.store.put("servers", "p", row_of("p", start_of(word)))
     else:
         runner.start = start_of(word)
         runner.status = 409 if what == "refused order" else 202
-        # Another upstream at the address turns down whatever names this one.
+        # Another upstream at the address refuses messages to this one.
         runner.is_another = what.startswith("misdirected")
         upstream = asked[0 if what == "old report" else -1]
         call = what.rpartition(" ")[2].replace("order", "place")
-        await believed(site, call, upstream)
+        await exchange_with(site, call, upstream)
     await trio.sleep(0.3)
     site.store.tells_all_rows = False
 
@@ -121,13 +121,13 @@
     wrong = []
     for row in context.table:
         site = GatewayWorld()
-        runner = SaidRunner()
+        runner = ReportingRunner()
 
         async def story(site, row=row, runner=runner):
             site.network.listen("p:1", runner.handle)
             asked = []
             for said in row["said"].split(", "):
-                await say(site, runner, said, asked)
+                await apply_report(site, runner, said, asked)
                 asked += [each for each in known(site) if each not in asked]
             starts = [
                 "-" if getattr(each, "start", None) is None else str(each.start)
@@ -156,7 +156,7 @@
         replica.take(TableUpdate("servers", None, 1))
         for told in row["told"].split(", "):
             what, _, word = told.rpartition(" ")
-            # One that is behind tells what it knew at a version that has long passed.
+            # A peer that is behind sends the state of a superseded version.
             version = 2 if what.endswith("older") else replica.version + 10
             after = None if what.startswith("all") else 1
             value = json.dumps(row_of("p", start_of(word))).encode()
@@ -169,7 +169,7 @@
 
 
 def do_nothing(*_, **__):
-    """Take a call that nothing follows from."""
+    """Ignore a callback."""
 
 
 @then("each reply has this result")
@@ -178,7 +178,7 @@
     for row in context.table:
         for what in ("report", "pulse", "place", "move"):
             site = GatewayWorld()
-            runner = SaidRunner()
+            runner = ReportingRunner()
 
             async def story(site, row=row, runner=runner, what=what):
                 site.network.listen("p:1", runner.handle)
@@ -187,7 +187,7 @@
                 await trio.sleep(0.3)
                 (upstream,) = known(site)
                 runner.start = start_of(row["answers"])
-                got = await believed(site, what, upstream)
+                got = await exchange_with(site, what, upstream)
                 if got != row[what]:
                     wrong.append((row["asked"], row["answers"], what, got))
                 assert set(runner.seen) == {"p"}, runner.seen
@@ -198,7 +198,7 @@
 
 @then("upstreams with these ids and start times are distinct, each with its own id on the wire")
 def ids_apart(context):
-    # Two rows of one id are the same upstream: each is looked at in a site of its own.
+    # Two rows of one id are the same upstream, so each is checked in a site of its own.
     instances = []
     for row in context.table:
         site = GatewayWorld()
@@ -267,7 +267,7 @@
             firsts = [each.instance for each in site.runs]
             before = site.runners[firsts[-1]]
             after = before.restart(2000 + number, tells=False)
-            # It holds again what it held, so that the next try may go there.
+            # Restores its layers, so that the next attempt may be sent there.
             after.first, after.end = before.first, before.end
             site.store.put("servers", after.instance, after.row())
             await trio.sleep(0.1)
@@ -311,16 +311,16 @@
 
     async def story(site):
         async def take(order, exchange):
-            # The crash comes between the question for the count of orders and the order.
+            # The crash happens between the query for the order count and the order.
             runner = site.runners["x3"] = site.runners["x3"].restart(2000, tells=False)
-            runner.orders, runner.on_order = 1, turn_down
+            runner.orders, runner.on_order = 1, refuse
             await exchange.whole(202, (), json.dumps(runner.told_start).encode())
 
-        async def turn_down(order, exchange):
+        async def refuse(order, exchange):
             times.order = times.order or trio.current_time()
             await exchange.whole(409, (), json.dumps({"born": 2000}).encode())
 
-        # The order that is under way is answered, as one that the restart was quick enough for.
+        # The order in flight gets a reply, as if the restart had been quick enough.
         site.network.kill = lambda address, kept=site.network.kill: (
             None if address == "x3:1" else kept(address)
         )
--- a/features/steps/stale_row_steps.py
+++ b/features/steps/stale_row_steps.py
@@ -19,7 +19,7 @@
 LAYERS = 80
 # A kind with memory for 60 layers.
 KIND = "mid"
-# End of a load that is under way at the start, seconds; later reports may still show it as busy.
+# End of a load that runs at the start, seconds; later reports may still show it as busy.
 LOAD_END_SECONDS = 0.1
 # When another upstream becomes the fullest, and when the stale row is updated, seconds.
 FILL_DELAY_SECONDS = 7.0
--- a/features/token_world.py
+++ b/features/token_world.py
@@ -1,7 +1,7 @@
-"""Many processes that share rate limits, without gateways around them, on a virtual clock.
+"""Many processes that share rate limits, without complete gateways, on a virtual clock.
 
-Each process has its roster, its datagrams and its part in the limits. Callers come to them; what is
-sent is recorded when it is sent.
+Each process has a membership view, datagrams and a rate gate. Callers' requests are recorded when
+they are sent to the upstream.
 """
 
 from random import Random
@@ -24,17 +24,17 @@
 trio._core._run._ALLOW_DETERMINISTIC_SCHEDULING = True
 
 UPSTREAM = "u1"
-# Until processes know each other, seconds.
+# Time until all processes know each other, seconds.
 SETTLE_SECONDS = 6.0
-# From a token to its sending a connection may be opened, seconds.
-LONGEST_OPENING_SECONDS = 0.03
-# How often a caller asks, and when it comes back where it wasn't told, seconds.
-TRIES = 3
-SOON_SECONDS = 0.1
+# Maximum time to open a connection between acquiring a token and sending, seconds.
+MAX_CONNECT_SECONDS = 0.03
+# Attempts of a caller, and its pause if it got no Retry-After, seconds.
+MAX_ATTEMPTS = 3
+DEFAULT_PAUSE_SECONDS = 0.1
 
 
 class TokenProcess:
-    """One process's part in the limits."""
+    """The rate gate of one process and the parts that it needs."""
 
     def __init__(self, world, name, domain, start=1):
         self.world, self.name, self.domain, self.start = world, name, domain, start
@@ -76,15 +76,15 @@
         return self.gate.is_issuer
 
     async def serve(self):
-        """Serve one caller; return when it may come back, None where its request was sent."""
+        """Serve one caller; return when it may retry, None if its request was sent."""
         world = self.world
         if self.upstreams.throttles.is_throttled(UPSTREAM):
-            return self.returns_at()
+            return self.retry_at()
         token = await self.gate.acquire(UPSTREAM)
         if token is None:
-            return self.returns_at()
-        await trio.sleep(world.random.uniform(0.0, LONGEST_OPENING_SECONDS))
-        if world.leaves(self):
+            return self.retry_at()
+        await trio.sleep(world.random.uniform(0.0, MAX_CONNECT_SECONDS))
+        if world.drops_token(self):
             await self.gate.give_back(token)
         elif self.gate.may_send(token):
             sent_at = trio.current_time()
@@ -93,12 +93,12 @@
                 self.limits.record(UPSTREAM, world.rate, sent_at)
         return None
 
-    def returns_at(self):
-        return self.upstreams.first_end([UPSTREAM]) or trio.current_time() + SOON_SECONDS
+    def retry_at(self):
+        return self.upstreams.first_end([UPSTREAM]) or trio.current_time() + DEFAULT_PAUSE_SECONDS
 
 
 class TokenWorld:
-    """The processes, their store and the upstream, which names a rate."""
+    """The processes, their store, and an upstream with a rate limit."""
 
     def __init__(self, count, rate, lost=0.0):
         self.random = Random(5)
@@ -115,7 +115,7 @@
         apart = self.cut_apart and (source[0] == "a") != (target[0] == "a")
         return apart or self.random.random() < self.lost
 
-    def leaves(self, process):
+    def drops_token(self, process):
         return self.random.random() < self.unused_share
 
     def play(self, story, seconds=120.0):
@@ -135,7 +135,7 @@
         trio.run(main, clock=MockClock(autojump_threshold=0))
 
     async def callers(self, demand, seconds, share_of_first=None):
-        """Let callers come by chance, so many a second over all processes."""
+        """Send callers' requests at random times, `demand` a second over all processes."""
         until = trio.current_time() + seconds
         async with trio.open_nursery() as nursery:
             while trio.current_time() < until:
@@ -143,20 +143,20 @@
                 await trio.sleep(self.random.expovariate(demand))
 
     async def one_caller(self, share_of_first):
-        """Ask, and come back a few times when told so, at any process."""
-        for _ in range(TRIES):
-            returns_at = await self.pick(share_of_first).serve()
-            if returns_at is None:
+        """Send a request to any process, and retry a few times at the time returned."""
+        for _ in range(MAX_ATTEMPTS):
+            retry_at = await self.pick(share_of_first).serve()
+            if retry_at is None:
                 return
-            await trio.sleep_until(returns_at)
+            await trio.sleep_until(retry_at)
 
     def pick(self, share_of_first):
         if share_of_first is not None and self.random.random() < share_of_first:
             return self.processes[-1]
         return self.random.choice(self.processes)
 
-    def tell_all(self):
-        """Let every process know of the limit."""
+    def record_limit_everywhere(self):
+        """Record the limit at every process."""
         for each in self.processes:
             each.limits.record(UPSTREAM, self.rate, trio.current_time())
 
@@ -164,11 +164,11 @@
         return [each for each in self.processes if each.issues]
 
     def restart(self, process):
-        """Kill a process and start it anew."""
+        """Kill a process and restart it."""
         process.kill()
-        anew = TokenProcess(self, process.name, process.domain, process.start + 1)
-        self.processes[self.processes.index(process)] = anew
-        self.nursery.start_soon(anew.run)
+        restarted = TokenProcess(self, process.name, process.domain, process.start + 1)
+        self.processes[self.processes.index(process)] = restarted
+        self.nursery.start_soon(restarted.run)
 
     def most_in(self, seconds, since=0.0):
         times = sorted(at for at, _ in self.sent if at >= since)
