--- a/deckcourse/gateway/node.py
+++ b/deckcourse/gateway/node.py
@@ -263,7 +263,7 @@
         self._gateway.refuse_new()
 
     def may_send(self) -> bool:
-        """Return whether the configuration is recent enough to accept client keys."""
+        """Return whether the configuration is recent enough for requests that need a key."""
         return self._configuration_age() < self._settings().revocation * MAX_STALENESS_SHARE
 
     def _configuration_age(self) -> float:
@@ -421,9 +421,9 @@
             self._report_lost_upstream(addressed.domain)
         return observed
 
-    def _on_store_recovered(self, at_time: float | None = None) -> None:
+    def _on_store_recovered(self, recovered_at: float | None = None) -> None:
         """Record that the store recovered, now or at a given time."""
-        self._upstreams.on_store_recovered(at_time)
+        self._upstreams.on_store_recovered(recovered_at)
         self._lapse_check.on_store_recovered()
 
     def _on_list_contact(self, regained: bool) -> None:
--- a/deckcourse/gateway/row_intake.py
+++ b/deckcourse/gateway/row_intake.py
@@ -129,9 +129,9 @@
         if row is None:
             self._withdraw(key)
             return
-        known = self._upstreams.named(key)
+        known = self._upstreams.by_name(key)
         self._listed.put(row, version)
-        if self._upstreams.named(key) != row:
+        if self._upstreams.by_name(key) != row:
             self._close_idle(known)
         elif known is None or _logged_fields(known) != _logged_fields(row):
             self._log(
@@ -151,7 +151,7 @@
         self._listed.withdraw(key)
 
     def _on_row_gone(self, key: str) -> None:
-        known = self._upstreams.named(key)
+        known = self._upstreams.by_name(key)
         if known is not None:
             self._close_idle(known)
             self._log("upstream-gone", instance=known.instance, address=known.address)
--- a/deckcourse/gateway/upstreams.py
+++ b/deckcourse/gateway/upstreams.py
@@ -78,9 +78,9 @@
         self._expire()
         return self._changes
 
-    def on_store_recovered(self, at_time: float | None = None) -> None:
+    def on_store_recovered(self, recovered_at: float | None = None) -> None:
         """Record that the store recovered from an outage, now or at the given time."""
-        at = self._clock() if at_time is None else at_time
+        at = self._clock() if recovered_at is None else recovered_at
         self._store_recovered_at = max(self._store_recovered_at, at)
 
     def replace_all(self, rows: Iterable[Upstream]) -> None:
@@ -115,7 +115,7 @@
         if previous is not None and previous != row.instance:
             self._drop(previous)
         if known is not None and self._at_address.get(known.address) == row.instance:
-            # Otherwise the next owner of the old address would be treated as its successor.
+            # Otherwise the next row with the old address would drop this one as its predecessor.
             del self._at_address[known.address]
         self._at_address[row.address] = row.instance
         self._rows[row.instance] = row
@@ -209,7 +209,7 @@
     def accepts_at(self, service: str) -> float | None:
         """Return when the first upstream of a service accepts requests again, on the clock.
 
-        None if one accepts them now, or if all are leaving.
+        None if one accepts them now, or if all of them are leaving.
         """
         rows = self.of_service(service)
         return self.first_end([each.instance for each in rows if not self._is_leaving(each)])
@@ -219,12 +219,12 @@
 
         None if one accepts them now, or if there are no upstreams.
         """
-        ends = [self._accepts_again_at(each) for each in instances]
-        return None if None in ends else min(ends, default=None)
+        acceptance_times = [self._accepts_again_at(each) for each in instances]
+        return None if None in acceptance_times else min(acceptance_times, default=None)
 
     def _accepts_again_at(self, instance: str) -> float | None:
-        ends = (self.backoff_until(instance), self._throttles.retry_at(instance))
-        return max((each for each in ends if each is not None), default=None)
+        acceptance_times = (self.backoff_until(instance), self._throttles.retry_at(instance))
+        return max((each for each in acceptance_times if each is not None), default=None)
 
     def _name_of(self, instance: str) -> str:
         row = self.last_known(instance)
@@ -331,7 +331,7 @@
         """Return the row of an instance, None if it is gone."""
         return self._rows.get(instance)
 
-    def named(self, name: str) -> Upstream | None:
+    def by_name(self, name: str) -> Upstream | None:
         """Return the row of a name, None if it is gone."""
         return self._rows.get(self._instance_by_name.get(name, ""))
 
