--- a/deckcourse/gateway/node.py
+++ b/deckcourse/gateway/node.py
@@ -248,8 +248,8 @@
             await self._peers.handle(request, exchange)
             return
         if request.method == b"DELETE":
-            known = self._crash_watch.release(identity.decode("latin-1"))
-            await exchange.whole(200 if known else 404, (), b"")
+            was_suspect = self._crash_watch.release(identity.decode("latin-1"))
+            await exchange.whole(200 if was_suspect else 404, (), b"")
             return
         kind = (b"content-type", b"application/json")
         await exchange.whole(200, (kind,), encode_quarantine(self._crash_watch.view()))
@@ -426,30 +426,30 @@
         self._upstreams.on_store_recovered(recovered_at)
         self._lapse_check.on_store_recovered()
 
-    def _on_list_contact(self, regained: bool) -> None:
-        if regained:
+    def _on_list_contact(self, recovered: bool) -> None:
+        if recovered:
             self._on_store_recovered()
             if self._operator_feed.lost:
                 # Otherwise its backoff continues, and the configuration stays stale meanwhile.
                 self._operator_feed.ask_anew()
 
-    def _on_contact(self, regained: bool) -> None:
-        if regained:
+    def _on_contact(self, recovered: bool) -> None:
+        if recovered:
             self._on_store_recovered()
         self._upstream_feed.ask_anew()
-        self._counters.count("store.regained" if regained else "store.lost")
+        self._counters.count("store.regained" if recovered else "store.lost")
         self._log(
-            "store-regained" if regained else "store-lost", age=round(self._configuration_age(), 3)
+            "store-regained" if recovered else "store-lost", age=round(self._configuration_age(), 3)
         )
 
     def _take_desired(self, desired: DesiredState) -> None:
-        known = self._desired.version if self._desired is not None else None
-        if known is not None and desired.version <= known:
+        current_version = self._desired.version if self._desired is not None else None
+        if current_version is not None and desired.version <= current_version:
             return
         self._desired = desired
         self._desired_changed.set()
         self._desired_changed = trio.Event()
-        self._log("configuration", version=desired.version, before=known)
+        self._log("configuration", version=desired.version, before=current_version)
 
     def _on_plan(self, group: str, record: PlanRecord) -> None:
         for service, healer in self._healers.items():
--- a/deckcourse/gateway/rate_gate.py
+++ b/deckcourse/gateway/rate_gate.py
@@ -142,8 +142,8 @@
           limit: the limit.
           source: "answer", "peer" or "gone".
         """
-        known = self._changed_sources.get(limit.instance)
-        self._changed_sources[limit.instance] = "answer" if known == "answer" else source
+        previous = self._changed_sources.get(limit.instance)
+        self._changed_sources[limit.instance] = "answer" if previous == "answer" else source
         self._limits_changed.set()
 
     async def acquire(self, instance: str) -> SendingToken | None:
--- a/deckcourse/gateway/row_intake.py
+++ b/deckcourse/gateway/row_intake.py
@@ -157,9 +157,9 @@
             self._log("upstream-gone", instance=known.instance, address=known.address)
             self._on_gone(known)
 
-    def _close_idle(self, known: Upstream | None) -> None:
-        if known is not None:
-            self._pool.forget(known.address)
+    def _close_idle(self, upstream: Upstream | None) -> None:
+        if upstream is not None:
+            self._pool.forget(upstream.address)
 
     def _decode(self, key: str, value: bytes) -> Upstream | None:
         match self._reader.upstream(key, value):
--- a/features/steps/notice_steps.py
+++ b/features/steps/notice_steps.py
@@ -48,9 +48,7 @@
     context.site.runners["x1"].at_fault = "x2:1"
 
 
-@given(
-    "upstreams that all refuse requests, the first one with Retry-After 3 and the" " others with 2"
-)
+@given("upstreams that all refuse requests, the first one with Retry-After 3 and the others with 2")
 def all_ask(context):
     first_asks(context, "3")
     for name in ("y1", "p2"):
@@ -259,9 +257,7 @@
     ][:3]
 
 
-@then(
-    "every later caller was refused within 0.01 seconds, to retry when the first" " backoff is over"
-)
+@then("every later caller was refused within 0.01 seconds, to retry when the first backoff is over")
 def told_when(context):
     site = context.site
     firsts = {each.instance: each.at + each.seconds for each in reversed(site.asked)}
@@ -290,9 +286,7 @@
     assert all(got.seconds <= IMMEDIATE_SECONDS for got in later)
 
 
-@then(
-    "the first one got its next request after {seconds} seconds, {malformed}" " malformed responses"
-)
+@then("the first one got its next request after {seconds} seconds, {malformed} malformed responses")
 def next_after(context, seconds, malformed):
     site = context.site
     at = [each.at for each in site.arrivals if each.instance == "x1"]
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -69,9 +69,7 @@
     assert [each.status for each in context.after] == [200] * 3, context.after
 
 
-@when(
-    "a crashing request is sent to all processes at once, every second for" " {seconds:d} seconds"
-)
+@when("a crashing request is sent to all processes at once, every second for {seconds:d} seconds")
 def comes_to_all(context, seconds):
     async def story(site):
         async with trio.open_nursery() as nursery:
--- a/features/steps/rate_limit_steps.py
+++ b/features/steps/rate_limit_steps.py
@@ -15,9 +15,7 @@
 MAX_DETECTION_SECONDS = 5.0
 
 
-@given(
-    "{count:d} processes, and a first upstream that will announce a limit of" " {rate:g} a second"
-)
+@given("{count:d} processes, and a first upstream that will announce a limit of {rate:g} a second")
 def one_limited(context, count, rate):
     context.site = RateWorld(count)
     context.rate, context.all_limited = rate, False
