--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -181,10 +181,10 @@
     play_same(context, reset_three_times)
 
 
-def play_same(context, happens, gap=0.03):
+def play_same(context, event, gap=0.03):
     async def story(site):
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(happens, site)
+            nursery.start_soon(event, site)
             nursery.start_soon(keep_sending_same, context, site, 16.0, gap)
 
     context.site.play(story)
@@ -247,8 +247,8 @@
 @then("no other caller was refused because of crashes")
 def others_not_refused(context):
     assert context.others
-    told = [got for _, got in context.others if reason_of(got) == REASON]
-    assert not told, (len(told), len(context.others))
+    refused = [got for _, got in context.others if reason_of(got) == REASON]
+    assert not refused, (len(refused), len(context.others))
 
 
 @then("every other caller that came {seconds:d} seconds after the first crash was served")
--- a/features/steps/notice_steps.py
+++ b/features/steps/notice_steps.py
@@ -67,12 +67,12 @@
 
 
 @then("the first caller that both refused may retry within {seconds:g} seconds")
-def comes_back(context, seconds):
+def may_retry(context, seconds):
     site = context.site
     refused = [got for _, got in context.notices.got if got.status == 503]
     assert refused and arrivals_during_backoff(site, "x1") == []
-    told = float(site.header(refused[0], "retry-after"))
-    assert 0 < told <= seconds, told
+    retry_after = float(site.header(refused[0], "retry-after"))
+    assert 0 < retry_after <= seconds, retry_after
 
 
 @given("upstreams of which the first one will refuse requests with Retry-After 3")
@@ -127,17 +127,17 @@
 
 
 @when("a caller asks for {route} every 0.05 seconds for {seconds:d} seconds")
-def asks_on(context, route, seconds):
+def callers_ask(context, route, seconds):
     async def story(site):
         await make_control_call(context)
-        await before(context, site, route)
+        await send_first_request(context, site, route)
         await keep_asking(site, context.notices, route, seconds)
         context.usable = {each.instance for each in table(site).usable("crm")}
 
     context.site.play(story)
 
 
-async def before(context, site, route):
+async def send_first_request(context, site, route):
     """Send one request to the first upstream, then apply the event of the scenario."""
     if getattr(context, "happens", ""):
         await site.ask(route, name="c-first")
@@ -226,7 +226,7 @@
 
 
 @then("the first one got no request during its backoff")
-def rest_kept(context):
+def backoff_kept(context):
     name = FIRST[context.notices.route]
     assert_was_asked(context, name)
     late = arrivals_during_backoff(context.site, name)
@@ -234,8 +234,8 @@
 
 
 @then("no upstream got a request during its backoff")
-def rests_kept(context):
-    rest_kept(context)
+def backoffs_kept(context):
+    backoff_kept(context)
     for name in context.site.runners:
         assert not arrivals_during_backoff(context.site, name)
 
@@ -258,7 +258,7 @@
 
 
 @then("every later caller was refused within 0.01 seconds, to retry when the first backoff is over")
-def told_when(context):
+def refused_until_first_backoff_ends(context):
     site = context.site
     firsts = {each.instance: each.at + each.seconds for each in reversed(site.asked)}
     names = {"stream": ("x1", "y1")}.get(context.notices.route, ("p1", "p2"))
@@ -268,20 +268,20 @@
     assert len(later) > 20, len(later)
     for at, got in later:
         assert got.status == 503 and got.seconds <= IMMEDIATE_SECONDS, got
-        back = at + float(site.header(got, "retry-after"))
-        assert opens - IN_FLIGHT_SECONDS <= back, (at, back, opens)
+        retry_at = at + float(site.header(got, "retry-after"))
+        assert opens - IN_FLIGHT_SECONDS <= retry_at, (at, retry_at, opens)
     # The first callers may retry when that backoff ends, the others one after the other.
-    first_back = min(at + float(site.header(got, "retry-after")) for at, got in later)
-    assert first_back <= opens + MAX_DEFAULT_PAUSE_SECONDS, (first_back, opens)
+    first_retry_at = min(at + float(site.header(got, "retry-after")) for at, got in later)
+    assert first_retry_at <= opens + MAX_DEFAULT_PAUSE_SECONDS, (first_retry_at, opens)
 
 
 @then("every later caller was refused within 0.01 seconds")
-def told_at_once(context):
+def refused_at_once(context):
     site, names = context.site, {"p1", "p2"}
     firsts = {each.instance: each.at for each in reversed(site.told_leaving)}
     assert names <= set(firsts), firsts
-    told = max(firsts[name] for name in names)
-    later = [got for at, got in context.notices.got if at > told + IN_FLIGHT_SECONDS]
+    all_announced_at = max(firsts[name] for name in names)
+    later = [got for at, got in context.notices.got if at > all_announced_at + IN_FLIGHT_SECONDS]
     assert later and all(got.status == 503 for got in later), later[:3]
     assert all(got.seconds <= IMMEDIATE_SECONDS for got in later)
 
--- a/features/steps/rate_limit_steps.py
+++ b/features/steps/rate_limit_steps.py
@@ -135,14 +135,14 @@
         await trio.sleep(0.5)
 
 
-async def part_held_up(site):
+async def stage_stalls(site):
     await trio.sleep(4.0)
     site.runners["x2"].holds_up = True
     await trio.sleep(1.5)
     site.runners["x2"].holds_up = False
 
 
-async def part_lost(site):
+async def stage_lost(site):
     for runner in site.runners.values():
         runner.rate_limits = site.runners["x1"].rate_limits
     await trio.sleep(4.0)
@@ -172,11 +172,11 @@
 
 
 HAPPENINGS = {
-    "a part is lost for good": part_lost,
+    "a part is lost for good": stage_lost,
     "streams elsewhere break off and resume": streams_break,
     "calls elsewhere break off and are retried": calls_break,
     "a request crashes those that run it": deadly_request,
-    "an upstream behind it holds streams up": part_held_up,
+    "an upstream behind it holds streams up": stage_stalls,
     "the store comes back without its row": row_lapses,
     "the limit ends after 6 seconds": limit_ends,
     "peers are cut off from each other": peers_cut_off,
@@ -219,15 +219,15 @@
 
 
 @then("every other caller was refused at once, with the time at which a token is free")
-def refused_with_moment(context):
+def refused_with_retry_after(context):
     site = context.site
     refused = [got for at, got in site.got if got.status != 200 and at >= context.limited_since]
     assert refused
     for got in refused:
         assert got.status == 503, got
         assert got.seconds <= IMMEDIATE_SECONDS, got.seconds
-        back = float(site.header(got, "retry-after"))
-        assert 0.0 < back <= MAX_DELAY_SECONDS + 0.3 * 20.0, back
+        retry_after = float(site.header(got, "retry-after"))
+        assert 0.0 < retry_after <= MAX_DELAY_SECONDS + 0.3 * 20.0, retry_after
     # Each retry time is given out once: the first refused callers get the earliest.
     all_refused = [got for _, got in site.got if got.status != 200]
     earliest = min(float(site.header(got, "retry-after")) for got in all_refused)
@@ -254,7 +254,7 @@
 
 
 @then("the first upstream gets a share of all requests again")
-def comes_back(context):
+def load_returns(context):
     site = context.site
     # Under a limit of 0 the upstream gets a query once in some seconds.
     since = site.ended_at + MAX_DETECTION_SECONDS
