--- a/features/mutants_notices.py
+++ b/features/mutants_notices.py
@@ -1,4 +1,4 @@
-"""Mutants of what is done about upstreams that ask for time or say that they leave."""
+"""Mutants of the handling of upstreams that request a backoff or announce their shutdown."""
 
 import deckcourse.gateway.lookup as lookup_module
 import deckcourse.gateway.stream as stream_module
@@ -18,10 +18,10 @@
 
 
 def asked_time_can_be_shortened():
-    def note(self, name, seconds):
-        self._until[name] = self._clock() + seconds
+    def extend(self, name, seconds):
+        self._deadlines[name] = self._clock() + seconds
 
-    Backoffs.note = note
+    Backoffs.extend = extend
 
 
 def no_look_before_a_request_is_sent():
--- a/features/steps/crash_evidence_steps.py
+++ b/features/steps/crash_evidence_steps.py
@@ -1,4 +1,4 @@
-"""Steps about which runs count as evidence that a request ended an upstream."""
+"""Steps about which attempts count as evidence that a request crashed an upstream."""
 
 from types import SimpleNamespace
 
@@ -17,7 +17,7 @@
 class SilentCrashCheck:
     """Reports every upstream as silent."""
 
-    async def pulse(self, upstream, has_layers):
+    async def probe(self, upstream, has_layers):
         return Pulse.SILENT
 
 
@@ -40,7 +40,7 @@
 class NullPeerGossip:
     """Sends nothing to peers."""
 
-    def share_crashes(self, hear, crashes):
+    def share_crashes(self, on_crash, crashes):
         pass
 
     async def tell_crash(self, crash):
@@ -51,7 +51,7 @@
     return SimpleNamespace(identity=identity, service=SimpleNamespace(model=None))
 
 
-@given("runs {runs} at an upstream, each from its start to its break in seconds")
+@given("attempts {runs} at an upstream, each from its start to its break in seconds")
 def runs_given(context, runs):
     context.runs = []
     for run in runs.split(", "):
@@ -97,11 +97,11 @@
             await trio.sleep(seconds)
             watch.note_ended(UPSTREAM.instance)
             nursery.cancel_scope.cancel()
-        context.ended_under = {each for each, _, _ in context.runs if evidence.ends(each)}
+        context.ended_under = {each for each, _, _ in context.runs if evidence.crash_count(each)}
 
     trio.run(story, clock=MockClock(autojump_threshold=0))
 
 
-@then("the upstream ended under {identities}")
+@then("the crash is attributed to {identities}")
 def ended_under(context, identities):
     assert context.ended_under == set(identities.split(", ")), context.ended_under
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -1,4 +1,4 @@
-"""Steps about requests that end the upstreams that run them."""
+"""Steps about requests that crash the upstreams that execute them."""
 
 import json
 
@@ -6,14 +6,14 @@
 from behave import given, then, when
 from crash_world import DEADLY, CrashWorld
 
-# What tells a caller that its request ends upstreams.
+# The reason in the refusal of a request that crashes upstreams.
 REASON = "ends-upstreams"
-# Between two other requests at one process, seconds.
-OTHERS_SECONDS = 0.2
-AT_ONCE_SECONDS = 0.01
+# Interval between other callers' requests, seconds.
+OTHERS_INTERVAL_SECONDS = 0.2
+IMMEDIATE_SECONDS = 0.01
 
 
-@given("three processes before upstreams that some requests crash")
+@given("three gateway processes and upstreams that some requests crash")
 def three_processes(context):
     context.site = CrashWorld()
     context.deadly = []
@@ -72,7 +72,7 @@
 
 
 async def keep_sending(context, site, route, seconds, body=DEADLY):
-    """Send one request again and again, each time under another id and to another process."""
+    """Send one request repeatedly, each time under another id and to another process."""
     until, number = trio.current_time() + seconds, 0
     async with trio.open_nursery() as nursery:
         while trio.current_time() < until:
@@ -81,10 +81,10 @@
             await trio.sleep(0.7)
 
 
-async def send(site, kept, number, route, name, body):
+async def send(site, responses, number, route, name, body):
     began = trio.current_time()
     process = site.processes[number % len(site.processes)]
-    kept.append((began, await site.ask_at(process, route, name, body)))
+    responses.append((began, await site.ask_at(process, route, name, body)))
 
 
 async def keep_others(context, site, route, seconds):
@@ -94,10 +94,13 @@
             body = f"other {number}".encode()
             nursery.start_soon(send, site, context.others, number, route, f"o{number}", body)
             number += 1
-            await trio.sleep(OTHERS_SECONDS)
+            await trio.sleep(OTHERS_INTERVAL_SECONDS)
 
 
-@when("a deadly request for {route} comes each 0.7 seconds for {seconds:d} seconds, while {what}")
+@when(
+    "a crashing request for {route} is sent every 0.7 seconds for {seconds:d}"
+    " seconds, while {what}"
+)
 def comes_while(context, route, seconds, what):
     async def story(site):
         async with trio.open_nursery() as nursery:
@@ -109,7 +112,10 @@
     context.site.play(story)
 
 
-@when("a deadly request for {route} comes each 0.7 seconds for {seconds:d} seconds, among others")
+@when(
+    "a crashing request for {route} is sent every 0.7 seconds for {seconds:d}"
+    " seconds, among others"
+)
 def comes_among_others(context, route, seconds):
     async def story(site):
         async with trio.open_nursery() as nursery:
@@ -120,7 +126,7 @@
 
 
 async def keep_sending_same(context, site, seconds, gap):
-    """Let callers of all processes send one and the same request, many at a time."""
+    """Send the same request from many concurrent callers to all processes."""
     until, number = trio.current_time() + seconds, 0
     async with trio.open_nursery() as nursery:
         while trio.current_time() < until:
@@ -130,7 +136,7 @@
 
 
 def end_first(site, domain):
-    """End the first upstream of a domain by itself."""
+    """End the first stage of a domain, not caused by a request."""
     runner = next(
         each
         for each in site.runners.values()
@@ -152,7 +158,7 @@
 
 
 async def reset_three_times(site):
-    # What counts from here on is the first end that there would be.
+    # Stands for the first crash, from which on other callers are checked.
     site.crash_nothing()
     for _ in range(3):
         await trio.sleep(0.7)
@@ -175,16 +181,16 @@
     play_same(context, reset_three_times)
 
 
-def play_same(context, happens, gap=0.03):
+def play_same(context, event, gap=0.03):
     async def story(site):
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(happens, site)
+            nursery.start_soon(event, site)
             nursery.start_soon(keep_sending_same, context, site, 16.0, gap)
 
     context.site.play(story)
 
 
-@when("the plain upstreams break off every answer and go on")
+@when("the plain upstreams break off every response and keep running")
 def plain_break_off(context):
     async def story(site):
         for name in ("px", "py"):
@@ -194,8 +200,8 @@
     context.site.play(story)
 
 
-@then("nothing reached an upstream that no caller sent")
-def nothing_unasked(context):
+@then("upstreams received only requests that callers sent")
+def only_callers_requests(context):
     unasked = [each for each in context.site.arrivals if each.request not in context.site.bodies]
     assert context.site.arrivals and not unasked, (len(unasked), unasked[:3])
 
@@ -218,15 +224,15 @@
     site.play(story)
 
 
-@then("it reached upstreams no more than 3 times later than 3 seconds after the third end")
+@then("it reached upstreams at most 3 times later than 3 seconds after the third crash")
 def bound_kept(context):
     assert context.site.ends_under(DEADLY), "nothing was crashed"
     late = context.site.sent_after_third(DEADLY)
     assert len(late) <= 3, (len(late), [each.at for each in context.site.crashes])
 
 
-@then("it ended no more than {most:d} upstreams")
-def ends_bounded(context, most):
+@then("it crashed at most {most:d} upstreams")
+def crashes_bounded(context, most):
     ends = context.site.ends_under(DEADLY)
     assert len(ends) <= most, (len(ends), [(each.instance, round(each.at, 2)) for each in ends])
 
@@ -238,14 +244,14 @@
         return ""
 
 
-@then("no other caller was told that its request ends upstreams")
-def others_not_told(context):
+@then("no other caller was refused because of crashes")
+def others_not_refused(context):
     assert context.others
-    told = [got for _, got in context.others if reason_of(got) == REASON]
-    assert not told, (len(told), len(context.others))
+    refused = [got for _, got in context.others if reason_of(got) == REASON]
+    assert not refused, (len(refused), len(context.others))
 
 
-@then("every other caller that came {seconds:d} seconds after the first end was served")
+@then("every other caller that came {seconds:d} seconds after the first crash was served")
 def others_served(context, seconds):
     first = context.site.crashes[0].at
     later = [got for at, got in context.others if at > first + seconds]
@@ -253,12 +259,12 @@
     assert len(later) > 50 and not failed, (len(later), len(failed), failed[:3])
 
 
-@then("later callers of it were refused within 0.01 seconds, as one that ends upstreams")
+@then("its later callers were refused within 0.01 seconds, because it crashes upstreams")
 def refused_at_once(context):
     third = context.site.ends_under(DEADLY)[:3][-1].at
     later = [got for at, got in context.deadly if at > third + 1.0]
     assert len(later) > 5
     for got in later:
         assert got.status == 503 and reason_of(got) == REASON, got
-        assert got.seconds <= AT_ONCE_SECONDS, got.seconds
+        assert got.seconds <= IMMEDIATE_SECONDS, got.seconds
         assert float(context.site.header(got, "retry-after")) > 0
--- a/features/steps/notice_steps.py
+++ b/features/steps/notice_steps.py
@@ -1,4 +1,4 @@
-"""Steps about upstreams that ask for time without requests, or say that they leave."""
+"""Steps about upstreams that request a backoff or announce their shutdown."""
 
 import json
 
@@ -10,12 +10,12 @@
 from hypothesis import settings, strategies
 from notice_happenings import HAPPENINGS, row, table
 from notice_world import (
-    AT_ONCE_SECONDS,
     FIRST,
-    WAY_SECONDS,
+    IMMEDIATE_SECONDS,
+    IN_FLIGHT_SECONDS,
     arrivals_after_leaving,
-    arrivals_while_asked,
-    first_ones,
+    arrivals_during_backoff,
+    first_upstreams,
     keep_asking,
     site_with_notices,
 )
@@ -27,28 +27,28 @@
 from deckcourse.platform.notices import LONGEST_BACKOFF_SECONDS, notice_of
 
 MANY_DIGITS = "9" * 401
-# The headers of a refusal that don't stand in the table as they are.
+# Header values that are too long for the table, by the text that stands for them.
 ODD_ASKS = {"9 and 400 more digits": (MANY_DIGITS,)}
-# A wish that counts for nothing: the upstream is asked again within the longest guess.
-SOON_SECONDS = 0.7
-# How exactly the next request comes when a time is over, seconds: callers come 0.05 s apart.
-NEXT_SECONDS = 0.1
+# Maximum pause without a valid Retry-After, the longest default backoff, seconds.
+MAX_DEFAULT_PAUSE_SECONDS = 0.7
+# Maximum delay of the next request after a backoff, seconds: callers come 0.05 s apart.
+MAX_DELAY_SECONDS = 0.1
 
 
-@given("upstreams of which the first one turns requests away and asks for {asks}")
+@given("upstreams of which the first one refuses requests with Retry-After {asks}")
 def first_asks(context, asks):
-    for runner in first_ones(site_with_notices(context)):
+    for runner in first_upstreams(site_with_notices(context)):
         runner.behaviour = "full"
         runner.asks = ODD_ASKS.get(asks, tuple(asks.split(" / ")))
 
 
-@given("upstreams of which the first one turns requests away for x2 and asks for 3")
+@given("upstreams of which the first one refuses requests for x2's sake, with Retry-After 3")
 def asks_for_another(context):
     first_asks(context, "3")
     context.site.runners["x1"].at_fault = "x2:1"
 
 
-@given("upstreams that all turn requests away, the first one asks for 3 and the others for 2")
+@given("upstreams that all refuse requests, the first one with Retry-After 3 and the others with 2")
 def all_ask(context):
     first_asks(context, "3")
     for name in ("y1", "p2"):
@@ -56,38 +56,41 @@
         context.site.runners[name].asks = ("2",)
 
 
-@given("upstreams that all turn requests away, the first one asks for 3 and the others for nothing")
+@given(
+    "upstreams that all refuse requests, the first one with Retry-After 3 and the"
+    " others without it"
+)
 def one_asks(context):
     all_ask(context)
     for name in ("y1", "p2"):
         context.site.runners[name].asks = ()
 
 
-@then("the first caller that both turned away may come back within {seconds:g} seconds")
-def comes_back(context, seconds):
+@then("the first caller that both refused may retry within {seconds:g} seconds")
+def may_retry(context, seconds):
     site = context.site
     refused = [got for _, got in context.notices.got if got.status == 503]
-    assert refused and arrivals_while_asked(site, "x1") == []
-    told = float(site.header(refused[0], "retry-after"))
-    assert 0 < told <= seconds, told
+    assert refused and arrivals_during_backoff(site, "x1") == []
+    retry_after = float(site.header(refused[0], "retry-after"))
+    assert 0 < retry_after <= seconds, retry_after
 
 
-@given("upstreams of which the first one will turn requests away and ask for 3")
+@given("upstreams of which the first one will refuse requests with Retry-After 3")
 def will_ask(context):
     site_with_notices(context)
 
 
-@given("upstreams of which the first one asks for 3 in the answer to {answer}")
+@given("upstreams of which the first one sends Retry-After 3 in the response to {answer}")
 def asks_in_control(context, answer):
-    runner, _ = first_ones(site_with_notices(context))
+    runner, _ = first_upstreams(site_with_notices(context))
     runner.asks, runner.refuses_control = ("3",), True
     context.control_call = answer
 
 
-@given("upstreams of which the first one says that it leaves in the answer to {answer}")
+@given("upstreams of which the first one announces its shutdown in the response to {answer}")
 def says_leaving(context, answer):
     context.control_call = ""
-    for runner in first_ones(site_with_notices(context)):
+    for runner in first_upstreams(site_with_notices(context)):
         runner.says_leaving = True
         if answer == "a call that fails":
             runner.behaviour = "fails"
@@ -97,13 +100,13 @@
             context.control_call = answer
 
 
-@given("upstreams that all say that they leave")
+@given("upstreams that all announce their shutdown")
 def all_leave(context):
     for runner in site_with_notices(context).runners.values():
         runner.says_leaving = True
 
 
-@given("upstreams of which the first one answers that it is another one, which leaves")
+@given("upstreams of which another, leaving one responds at the address of the first one")
 def another_answers(context):
     site = site_with_notices(context)
     other = StandinRunner(site, "another", "crm", "x")
@@ -123,27 +126,27 @@
         await site.control.load(row(site, "x1"))
 
 
-@when("a caller asks for {route} each 0.05 seconds for {seconds:d} seconds")
-def asks_on(context, route, seconds):
+@when("a caller asks for {route} every 0.05 seconds for {seconds:d} seconds")
+def callers_ask(context, route, seconds):
     async def story(site):
         await make_control_call(context)
-        await before(context, site, route)
+        await send_first_request(context, site, route)
         await keep_asking(site, context.notices, route, seconds)
         context.usable = {each.instance for each in table(site).usable("crm")}
 
     context.site.play(story)
 
 
-async def before(context, site, route):
-    """Let the first upstream be asked once, and what a scenario names happen after it."""
+async def send_first_request(context, site, route):
+    """Send one request to the first upstream, then apply the event of the scenario."""
     if getattr(context, "happens", ""):
         await site.ask(route, name="c-first")
         await HAPPENINGS[context.happens](site, FIRST[route])
         await trio.sleep(0.1)
 
 
-@when("the first one has asked for it, and {what}")
-@when("the first one has said so, and {what}")
+@when("the first one has sent it, and {what}")
+@when("the first one has announced it, and {what}")
 def happens(context, what):
     context.happens = what
 
@@ -199,7 +202,7 @@
     context.site.play(story)
 
 
-@when("the first one has said so while the store doesn't tell")
+@when("the first one has announced it while its row doesn't show it")
 def said_without_store(context):
     for runner in context.site.runners.values():
         runner.obeys = True
@@ -222,22 +225,22 @@
     assert any(each.instance == name for each in context.site.asked), context.site.arrivals
 
 
-@then("the first one got no request in the time it had asked for")
-def rest_kept(context):
+@then("the first one got no request during its backoff")
+def backoff_kept(context):
     name = FIRST[context.notices.route]
     assert_was_asked(context, name)
-    late = arrivals_while_asked(context.site, name)
+    late = arrivals_during_backoff(context.site, name)
     assert not late, (len(late), late[:3], context.site.lines[-5:])
 
 
-@then("no upstream got a request in the time it had asked for")
-def rests_kept(context):
-    rest_kept(context)
+@then("no upstream got a request during its backoff")
+def backoffs_kept(context):
+    backoff_kept(context)
     for name in context.site.runners:
-        assert not arrivals_while_asked(context.site, name)
+        assert not arrivals_during_backoff(context.site, name)
 
 
-@then("the first one got requests again after that time")
+@then("the first one got requests again after its backoff")
 def used_again(context):
     name = FIRST[context.notices.route]
     over = max(each.at + each.seconds for each in context.site.asked if each.instance == name)
@@ -254,38 +257,36 @@
     ][:3]
 
 
-@then(
-    "every later caller was refused within 0.01 seconds, to come back when the first time is over"
-)
-def told_when(context):
+@then("every later caller was refused within 0.01 seconds, to retry when the first backoff is over")
+def refused_until_first_backoff_ends(context):
     site = context.site
     firsts = {each.instance: each.at + each.seconds for each in reversed(site.asked)}
     names = {"stream": ("x1", "y1")}.get(context.notices.route, ("p1", "p2"))
     opens = min(firsts[name] for name in names)
     all_asked = max(each.at for each in site.asked)
-    later = [(at, got) for at, got in context.notices.got if at > all_asked + WAY_SECONDS]
+    later = [(at, got) for at, got in context.notices.got if at > all_asked + IN_FLIGHT_SECONDS]
     assert len(later) > 20, len(later)
     for at, got in later:
-        assert got.status == 503 and got.seconds <= AT_ONCE_SECONDS, got
-        back = at + float(site.header(got, "retry-after"))
-        assert opens - WAY_SECONDS <= back, (at, back, opens)
-    # The first who come back meet the end of that time, the rest in turn after them.
-    first_back = min(at + float(site.header(got, "retry-after")) for at, got in later)
-    assert first_back <= opens + SOON_SECONDS, (first_back, opens)
+        assert got.status == 503 and got.seconds <= IMMEDIATE_SECONDS, got
+        retry_at = at + float(site.header(got, "retry-after"))
+        assert opens - IN_FLIGHT_SECONDS <= retry_at, (at, retry_at, opens)
+    # The first callers may retry when that backoff ends, the others one after the other.
+    first_retry_at = min(at + float(site.header(got, "retry-after")) for at, got in later)
+    assert first_retry_at <= opens + MAX_DEFAULT_PAUSE_SECONDS, (first_retry_at, opens)
 
 
 @then("every later caller was refused within 0.01 seconds")
-def told_at_once(context):
+def refused_at_once(context):
     site, names = context.site, {"p1", "p2"}
     firsts = {each.instance: each.at for each in reversed(site.told_leaving)}
     assert names <= set(firsts), firsts
-    told = max(firsts[name] for name in names)
-    later = [got for at, got in context.notices.got if at > told + WAY_SECONDS]
+    all_announced_at = max(firsts[name] for name in names)
+    later = [got for at, got in context.notices.got if at > all_announced_at + IN_FLIGHT_SECONDS]
     assert later and all(got.status == 503 for got in later), later[:3]
-    assert all(got.seconds <= AT_ONCE_SECONDS for got in later)
+    assert all(got.seconds <= IMMEDIATE_SECONDS for got in later)
 
 
-@then("the first one got its next request after {seconds} seconds, {malformed} malformed answers")
+@then("the first one got its next request after {seconds} seconds, {malformed} malformed responses")
 def next_after(context, seconds, malformed):
     site = context.site
     at = [each.at for each in site.arrivals if each.instance == "x1"]
@@ -295,12 +296,12 @@
     elif seconds.startswith("less than"):
         assert pause is not None and pause < float(seconds.split()[-1]), at[:3]
     else:
-        assert pause is not None and 0.0 <= pause - float(seconds) < NEXT_SECONDS, at[:3]
+        assert pause is not None and 0.0 <= pause - float(seconds) < MAX_DELAY_SECONDS, at[:3]
     counted = site.counters.counts.get("malformed.notice", 0)
     assert (counted > 0) == (malformed == "with"), counted
 
 
-@then("the first one got no request after it had said so")
+@then("the first one got no request after its announcement")
 def leaving_kept(context):
     name = FIRST[context.notices.route]
     assert any(each.instance == name for each in context.site.told_leaving)
@@ -308,14 +309,14 @@
     assert not late, (len(late), late[:3])
 
 
-@then("no upstream got a request after it had said so")
+@then("no upstream got a request after its announcement")
 def all_leaving_kept(context):
     leaving_kept(context)
     for name in context.site.runners:
         assert not arrivals_after_leaving(context.site, name)
 
 
-@then("the first one got requests at its new start")
+@then("the first one got requests as a new incarnation")
 def new_start_used(context):
     name = FIRST[context.notices.route]
     start = context.site.runners[name].born
@@ -324,13 +325,13 @@
     assert found, context.site.arrivals[-3:]
 
 
-@then("the first one is not taken for leaving")
+@then("the first one is not recorded as leaving")
 def not_leaving(context):
     assert context.notices.got
     assert "p1" in context.usable, context.usable
 
 
-@then("the explanation of a later refusal tells who asked and for how long")
+@then("the explanation of a later refusal names the upstreams and their backoffs")
 def explained(context):
     lines = [
         json.dumps({"node": "n", "at": 0.0, "message_type": kind, **fields})
@@ -361,7 +362,7 @@
 )
 
 
-@then("any headers of an answer are read")
+@then("any response headers are parsed")
 def any_headers(context):
     @settings(max_examples=500, derandomize=True, deadline=None, database=None)
     @hypothesis_given(HEADERS, strategies.sampled_from([200, 421, 429, 500, 503]))
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -1,4 +1,4 @@
-"""Steps about what is known of requests that end upstreams: told, kept, listed and released."""
+"""Steps about crash evidence: how it is reported, stored, listed and released."""
 
 import json
 
@@ -25,7 +25,7 @@
 
 
 async def ask_peer(site, process, method, target):
-    """Send a request to where a process listens to others; return the status and the body."""
+    """Send a request to the peer address of a process; return the status and the body."""
     pool = ConnectionPool(lambda what: None, site.network.dial)
     async with pool.lent(process.peer_address) as connection:
         reply = await connection.call(method, target, ((b"host", b"x"),), b"")
@@ -36,7 +36,7 @@
     return decode_quarantine((await ask_peer(site, process, b"GET", b"/quarantine"))[1])
 
 
-@when("a deadly request was stopped, its fault is mended, and an operator releases it")
+@when("a crashing request is quarantined, its fault is fixed, and an operator releases it")
 def released(context):
     async def story(site):
         for number in range(3):
@@ -57,7 +57,7 @@
     context.site.play(story)
 
 
-@then("every process listed it with 2 ends before")
+@then("every process listed it with 2 crashes before")
 def was_listed(context):
     for views in context.listed:
         assert [(each.ends, len(each.instances)) for each in views] == [(2, 2)], views
@@ -69,13 +69,13 @@
     assert [each.status for each in context.after] == [200] * 3, context.after
 
 
-@when("a deadly request comes to all processes at once, each second for {seconds:d} seconds")
+@when("a crashing request is sent to all processes at once, every second for {seconds:d} seconds")
 def comes_to_all(context, seconds):
     async def story(site):
         async with trio.open_nursery() as nursery:
             for second in range(seconds):
                 for number, process in enumerate([*site.processes, *site.processes]):
-                    # The first two alone convict it; later ones come all at once.
+                    # The first two alone confirm it as suspect; later ones are sent all at once.
                     if second >= 2 or number == 0:
                         name = f"d{second}-{number}"
                         nursery.start_soon(site.ask_at, process, "stream", name, DEADLY)
@@ -84,13 +84,13 @@
     context.site.play(story, 400.0)
 
 
-@then("it ended {count:d} upstreams")
+@then("it crashed {count:d} upstreams")
 def ended_exactly(context, count):
     ends = [round(each.at, 2) for each in context.site.ends_under(DEADLY)]
     assert len(ends) == count, ends
 
 
-@then("a request is refused for so long")
+@then("a request is quarantined for this time")
 def refused_for(context):
     for row in context.table:
         guarded = row["others convicted"] == "yes"
@@ -109,52 +109,55 @@
 )
 
 
-def known(crashes):
+def counted(crashes):
     evidence = CrashEvidence(lambda: 5.0)
     for each in crashes:
-        evidence.note(each)
-    return {each: (evidence.ends(each), set(evidence.instances(each))) for each in (ONE, OTHER)}
+        evidence.record(each)
+    return {
+        each: (evidence.crash_count(each), set(evidence.crashed_instances(each)))
+        for each in (ONE, OTHER)
+    }
 
 
-@then("told in any order, any number of times, ends count the same")
+@then("crashes reported in any order, any number of times, give the same count")
 def order_is_nothing(context):
     @settings(max_examples=300, derandomize=True, deadline=None, database=None)
     @hypothesis_given(CRASHES, strategies.randoms())
     def check(crashes, random):
         shuffled = [*crashes, *random.choices(crashes, k=3)] if crashes else []
         random.shuffle(shuffled)
-        assert known(crashes) == known(shuffled)
+        assert counted(crashes) == counted(shuffled)
 
     check()
 
 
-@then("what runs well is cleared, and what is told of it late counts for nothing")
+@then("a request that succeeds is cleared, and late reports about it are ignored")
 def cleared(context):
     now = [100.0]
     evidence = CrashEvidence(lambda: now[0])
     for number in range(3):
-        evidence.note(Crash(ONE, f"i-{number}", number))
-    assert evidence.refused_until(ONE) is not None
-    assert evidence.note_ran(ONE) and evidence.refused_until(ONE) is None
-    assert evidence.is_outdated(ONE) and not evidence.is_outdated(OTHER)
+        evidence.record(Crash(ONE, f"i-{number}", number))
+    assert evidence.quarantined_until(ONE) is not None
+    assert evidence.record_success(ONE) and evidence.quarantined_until(ONE) is None
+    assert evidence.was_just_cleared(ONE) and not evidence.was_just_cleared(OTHER)
     now[0] = 105.0
-    assert not evidence.is_outdated(ONE)
-    assert evidence.is_disproved(ONE) and not evidence.is_disproved(OTHER)
+    assert not evidence.was_just_cleared(ONE)
+    assert evidence.succeeded_recently(ONE) and not evidence.succeeded_recently(OTHER)
     now[0] = 111.0
-    assert not evidence.is_disproved(ONE)
+    assert not evidence.succeeded_recently(ONE)
 
 
-@then("ends told with what was known when their runs were sent count so")
+@then("crashes reported with the count known at the start of the attempt give these counts")
 def chain_counts(context):
     for row in context.table:
         evidence = CrashEvidence(lambda: 5.0)
-        for told in row["told"].split(", "):
-            instance, known_ends = told.split()
-            evidence.note(Crash(ONE, instance, int(known_ends)))
-        assert evidence.ends(ONE) == int(row["ends"]), (row, evidence.ends(ONE))
+        for report in row["told"].split(", "):
+            instance, known_ends = report.split()
+            evidence.record(Crash(ONE, instance, int(known_ends)))
+        assert evidence.crash_count(ONE) == int(row["ends"]), (row, evidence.crash_count(ONE))
 
 
-@when("a row of ends {what}")
+@when("a row of the crash table {what}")
 def bad_row(context, what):
     async def story(site):
         key, value = ROWS[what]
@@ -170,7 +173,7 @@
     context.site.play(story)
 
 
-@then("no process takes anything for ended, and all go on")
+@then("no process records a crash, and all keep serving callers")
 def nothing_ended(context):
     assert context.listed == [(), (), ()]
     for counts in context.counts:
--- a/features/steps/rate_limit_steps.py
+++ b/features/steps/rate_limit_steps.py
@@ -1,35 +1,35 @@
-"""Steps about upstreams that name a rate limit for all processes together."""
+"""Steps about upstreams that announce a rate limit for all processes together."""
 
 import trio
 from behave import given, then, when
 from crash_world import DEADLY
-from rate_world import AT_ONCE_SECONDS, CONTACT_SECONDS, SLACK, USED_SHARE, RateWorld
+from rate_world import CONTACT_SECONDS, IMMEDIATE_SECONDS, SLACK, USED_SHARE, RateWorld
 
-# The runner that names a limit, by the route that leads to it, and all first runners of that route.
+# By route: the runner that announces a limit, and all first runners.
 FIRST = {"stream": "x1", "once": "px", "again": "px"}
 ALL = {"stream": ("x1", "y1"), "once": ("px", "py"), "again": ("px", "py")}
-ASKED_SECONDS = 14.0
-# How much later than a token comes free a caller may be told to come, seconds.
-LATE_SECONDS = 1.5
-# Until the end of a limit of nothing is known, seconds.
-LONGEST_UNKNOWN_SECONDS = 5.0
+CALLERS_SECONDS = 14.0
+# Maximum delay of a Retry-After beyond the time at which a token is free, seconds.
+MAX_DELAY_SECONDS = 1.5
+# Maximum time until the end of a limit of 0 is detected, seconds.
+MAX_DETECTION_SECONDS = 5.0
 
 
-@given("{count:d} processes, and a first upstream that will name a limit of {rate:g} a second")
+@given("{count:d} processes, and a first upstream that will announce a limit of {rate:g} a second")
 def one_limited(context, count, rate):
     context.site = RateWorld(count)
     context.rate, context.all_limited = rate, False
 
 
-@given("{count:d} processes, and upstreams that will all name a limit of {rate:g} a second")
+@given("{count:d} processes, and upstreams that will all announce a limit of {rate:g} a second")
 def all_limited(context, count, rate):
     one_limited(context, count, rate)
     context.all_limited = True
 
 
 @given(
-    "{count:d} processes, and upstreams that will all name a limit of {rate:g} a second, and spare"
-    " ones"
+    "{count:d} processes, and upstreams that will all announce a limit of {rate:g} a"
+    " second, and spare ones"
 )
 def all_limited_but_spare(context, count, rate):
     all_limited(context, count, rate)
@@ -43,8 +43,8 @@
     return ALL[context.route] if context.all_limited else (FIRST[context.route],)
 
 
-async def callers_meet_limits(context, happening=None, share_of_first=None, demand=24.0):
-    """Let callers ask for some seconds without a limit and then with one."""
+async def callers_meet_limits(context, fault=None, share_of_first=None, demand=24.0):
+    """Send callers' requests for some seconds without a limit and then with one."""
     site = context.site
     if context.route != "stream":
         for runner in site.runners.values():
@@ -53,10 +53,10 @@
     site.limit(limited_names(context), f"{context.rate:g}")
     context.limited_since = trio.current_time() + CONTACT_SECONDS
     async with trio.open_nursery() as nursery:
-        if happening is not None:
-            nursery.start_soon(happening, site)
-        await site.keep_asking(context.route, demand, ASKED_SECONDS, share_of_first)
-    context.limited_until = context.limited_since + ASKED_SECONDS - CONTACT_SECONDS
+        if fault is not None:
+            nursery.start_soon(fault, site)
+        await site.keep_asking(context.route, demand, CALLERS_SECONDS, share_of_first)
+    context.limited_until = context.limited_since + CALLERS_SECONDS - CONTACT_SECONDS
 
 
 @when("callers keep asking all processes for {route}")
@@ -65,7 +65,7 @@
     context.site.play(lambda site: callers_meet_limits(context))
 
 
-@when("callers keep asking for {route}, half of them one process")
+@when("callers keep asking for {route}, half of them at one process")
 def asked_unevenly(context, route):
     context.route = route
     context.site.play(lambda site: callers_meet_limits(context, share_of_first=0.5))
@@ -135,14 +135,14 @@
         await trio.sleep(0.5)
 
 
-async def part_held_up(site):
+async def stage_stalls(site):
     await trio.sleep(4.0)
     site.runners["x2"].holds_up = True
     await trio.sleep(1.5)
     site.runners["x2"].holds_up = False
 
 
-async def part_lost(site):
+async def stage_lost(site):
     for runner in site.runners.values():
         runner.rate_limits = site.runners["x1"].rate_limits
     await trio.sleep(4.0)
@@ -172,11 +172,11 @@
 
 
 HAPPENINGS = {
-    "a part is lost for good": part_lost,
+    "a part is lost for good": stage_lost,
     "streams elsewhere break off and resume": streams_break,
     "calls elsewhere break off and are retried": calls_break,
     "a request crashes those that run it": deadly_request,
-    "an upstream behind it holds streams up": part_held_up,
+    "an upstream behind it holds streams up": stage_stalls,
     "the store comes back without its row": row_lapses,
     "the limit ends after 6 seconds": limit_ends,
     "peers are cut off from each other": peers_cut_off,
@@ -194,7 +194,7 @@
     context.site.play(lambda site: callers_meet_limits(context, HAPPENINGS[what]))
 
 
-@then("no upstream got more than it takes of all of them")
+@then("no upstream got more requests than its rate limit allows")
 def limit_kept(context):
     site = context.site
     most = {name: site.most_in_window(name) for name in limited_names(context)}
@@ -203,13 +203,13 @@
     assert max(most.values()) <= allowed, (most, allowed)
 
 
-@then("every caller of theirs was served")
+@then("every caller of the processes was served")
 def everybody_served(context):
     unserved = [got.status for _, got in context.site.got if got.status != 200 or not got.whole]
     assert context.site.got and not unserved, (len(unserved), len(context.site.got), unserved[:5])
 
 
-@then("of what they take at least 0.85 was used")
+@then("at least 0.85 of the allowed rate was used")
 def limit_used(context):
     site = context.site
     until = context.limited_until
@@ -218,30 +218,30 @@
         assert used >= USED_SHARE, (name, used)
 
 
-@then("every other caller was refused at once, with a moment at which a request is taken again")
-def refused_with_moment(context):
+@then("every other caller was refused at once, with the time at which a token is free")
+def refused_with_retry_after(context):
     site = context.site
     refused = [got for at, got in site.got if got.status != 200 and at >= context.limited_since]
     assert refused
     for got in refused:
         assert got.status == 503, got
-        assert got.seconds <= AT_ONCE_SECONDS, got.seconds
-        back = float(site.header(got, "retry-after"))
-        assert 0.0 < back <= LATE_SECONDS + 0.3 * 20.0, back
-    # Each moment is told once: the first ones refused are told the earliest.
+        assert got.seconds <= IMMEDIATE_SECONDS, got.seconds
+        retry_after = float(site.header(got, "retry-after"))
+        assert 0.0 < retry_after <= MAX_DELAY_SECONDS + 0.3 * 20.0, retry_after
+    # Each retry time is given out once: the first refused callers get the earliest.
     all_refused = [got for _, got in site.got if got.status != 200]
     earliest = min(float(site.header(got, "retry-after")) for got in all_refused)
-    assert earliest <= LATE_SECONDS, earliest
+    assert earliest <= MAX_DELAY_SECONDS, earliest
 
 
-@then("it was asked about them")
+@then("it was queried about them")
 def was_asked(context):
     site = context.site
     asked = [each for each in site.questions if each.instance == "x1" and each.at > site.named_at]
     assert asked
 
 
-@then("it is not taken for lost")
+@then("it is not recorded as lost")
 def not_lost(context):
     lines = context.site.lines
     lost = [
@@ -253,18 +253,19 @@
     assert not lost, lost[:3]
 
 
-@then("the first upstream gets a part of all requests again")
-def comes_back(context):
+@then("the first upstream gets a share of all requests again")
+def load_returns(context):
     site = context.site
-    # A limit of nothing is asked about once in some seconds.
-    since = site.ended_at + LONGEST_UNKNOWN_SECONDS
+    # Under a limit of 0 the upstream gets a query once in some seconds.
+    since = site.ended_at + MAX_DETECTION_SECONDS
     begun = [each for each in site.arrivals if each.at >= since and each.instance in ALL["stream"]]
     own = sum(each.instance == "x1" for each in begun)
     assert begun and own >= 0.2 * len(begun), (own, len(begun))
 
 
 @then(
-    "others began paths between {first:d} and {last:d} seconds after it, by at most {most:d} orders"
+    "other upstreams began paths {first:d} to {last:d} seconds after the limit, by"
+    " at most {most:d} orders"
 )
 def others_begin(context, first, last, most):
     site = context.site
--- a/features/steps/rate_sharing_steps.py
+++ b/features/steps/rate_sharing_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the rate that one upstream takes of many processes."""
+"""Steps about the rate limit that many processes share for one upstream."""
 
 import re
 
@@ -22,29 +22,29 @@
 WINDOW_SECONDS = 4.0
 SLACK = 3
 USED_SHARE = 0.85
-# Until an issuer is there after the limit is known, seconds.
+# Time until there is an issuer after the limit is known, seconds.
 ELECTION_SECONDS = 3.0
 MEASURED_SECONDS = 18.0
 FAULT_SECONDS = 6.0
 
 
 @given(
-    "{count:d} processes before an upstream that takes {rate:g} a second, {lost:g} of"
-    " datagrams lost"
+    "{count:d} processes before an upstream that accepts {rate:g} a second, {lost:g}"
+    " of datagrams lost"
 )
 def processes(context, count, rate, lost):
     context.site = TokenWorld(count, rate, lost)
 
 
-async def callers_come(context, demand, share=None, happening=None):
+async def callers_come(context, demand, share=None, fault=None):
     site = context.site
-    site.tell_all()
+    site.record_limit_everywhere()
     async with trio.open_nursery() as nursery:
         nursery.start_soon(site.callers, demand, ELECTION_SECONDS + MEASURED_SECONDS, share)
         await trio.sleep(ELECTION_SECONDS)
         context.since = trio.current_time()
-        if happening is not None:
-            await happening(site)
+        if fault is not None:
+            await fault(site)
         context.over_at = trio.current_time()
     context.until = context.since + MEASURED_SECONDS
 
@@ -55,8 +55,8 @@
     how, _, what = how.partition(", and ")
     share = 0.5 if how == "half of them to one" else None
     site.unused_share = 0.33 if "leave" in how else 0.0
-    happening = HAPPENINGS[what] if what else None
-    site.play(lambda _: callers_come(context, demand, share, happening))
+    fault = FAULTS[what] if what else None
+    site.play(lambda _: callers_come(context, demand, share, fault))
 
 
 async def third_cut(site):
@@ -119,7 +119,7 @@
 
 
 async def answers_lost(site):
-    """Let the store do what it is asked and answer nothing of it."""
+    """Make the store execute transactions but lose its replies."""
     usual = site.store.transact
 
     async def transact(writes):
@@ -139,7 +139,7 @@
     site.calls_at_end = site.store.reads + site.store.transactions
 
 
-HAPPENINGS = {
+FAULTS = {
     "a third is cut off from the others": third_cut,
     "the issuer is cut off from the others": issuer_cut,
     "the issuer loses the store": issuer_without_store,
@@ -154,7 +154,7 @@
 }
 
 
-@then("no 4 seconds had more sendings than the rate and 3")
+@then("no 4 seconds had more requests than the rate allows plus 3")
 def rate_kept(context):
     site = context.site
     most, allowed = site.most_in(WINDOW_SECONDS, context.since), 4.0 * site.rate + SLACK
@@ -170,7 +170,7 @@
     assert used >= USED_SHARE, used
 
 
-@then("sendings went on afterwards")
+@then("requests were sent again afterwards")
 def went_on(context):
     site = context.site
     begin = context.over_at + ELECTION_SECONDS + 2.0
@@ -179,11 +179,11 @@
     assert len(late) >= USED_SHARE * site.rate * span, (len(late), site.rate * span)
 
 
-@when("the store is dark before the limit is known, and a process starts after it")
+@when("the store is unavailable before the limit is known, and a process starts after it")
 def starts_in_the_dark(context):
     async def story(site):
         site.store.away = True
-        site.tell_all()
+        site.record_limit_everywhere()
         await trio.sleep(1.0)
         site.restart(site.processes[4])
         await trio.sleep(0.5)
@@ -199,10 +199,10 @@
     assert [fields["source"] for _, fields in context.process.lines] == ["peer"]
 
 
-@then("a token that was taken {seconds:g} seconds ago sends nothing")
+@then("a token acquired {seconds:g} seconds ago can't be used")
 def stale_token(context, seconds):
     async def story(site):
-        site.tell_all()
+        site.record_limit_everywhere()
         await trio.sleep(ELECTION_SECONDS)
         for process in site.processes:
             token = None
@@ -219,7 +219,7 @@
 @when("a caller comes each second for a while, and then 100 at once")
 def hundred_at_once(context):
     async def story(site):
-        site.tell_all()
+        site.record_limit_everywhere()
         await site.callers(1, 20.0)
         context.since = trio.current_time()
         async with trio.open_nursery() as nursery:
@@ -229,13 +229,13 @@
     context.site.play(story)
 
 
-@then("no more than {most:d} of the hundred were sent within 0.05 seconds")
-def none_saved(context, most):
+@then("at most {most:d} of the hundred were sent within 0.05 seconds")
+def few_saved(context, most):
     sent = [at for at, _ in context.site.sent if context.since <= at < context.since + 0.05]
     assert 1 <= len(sent) <= most, len(sent)
 
 
-@then("answers that name {text} say {rate}, {malformed} malformed ones")
+@then("responses with the limit {text} are read as {rate}, {malformed} malformed headers")
 def named(context, text, rate, malformed):
     status = 421 if text.endswith("in a 421") else 200
     values = [each.encode() for each in text.removesuffix(" in a 421").split(" / ")]
@@ -245,8 +245,8 @@
     assert notice.malformed == (malformed == "with"), notice
 
 
-@given("a process that heard {heard}")
-def hears(context, heard):
+@given("a process that received {heard}")
+def receives_limits(context, heard):
     clock = iter(range(1000))
     now = [0.0]
     upstreams = UpstreamTable(lambda: now[0])
@@ -268,13 +268,13 @@
         intake.apply(UPSTREAM, notice, sent_at, "question" in each)
 
 
-@then("it keeps to {rate}")
+@then("its limit is {rate}")
 def keeps_to(context, rate):
     assert context.book.rate_of(UPSTREAM) == (None if rate == "nothing" else float(rate))
 
 
-@when("a process hears another limit from 5000 upstreams, and 1000 from one within a second")
-def floods(context):
+@when("a process receives a limit from 5000 upstreams, and 1000 from one more within a second")
+def receives_many_limits(context):
     async def story(site):
         process = site.processes[0]
         for number in range(5000):
@@ -288,7 +288,7 @@
     context.site.play(story)
 
 
-@then("it keeps no more than {most:d} of them")
+@then("it retains at most {most:d} limits")
 def bounded(context, most):
     assert len(context.process.limits.limits()) <= most
 
@@ -299,10 +299,10 @@
     assert 1 <= len(lines) <= most, len(lines)
 
 
-@when("strange datagrams about limits come")
+@when("malformed datagrams about limits arrive")
 def strange(context):
     async def story(site):
-        site.tell_all()
+        site.record_limit_everywhere()
         await trio.sleep(ELECTION_SECONDS)
         target = site.processes[0].address
         request = encode_message(TokenRequest(1, "nobody:1", RateLimit(UPSTREAM, 1, 2.3)))
@@ -329,7 +329,7 @@
     assert len(after) > 20 * 5.0 * USED_SHARE, len(after)
 
 
-@then("the store is asked nothing more about limits")
+@then("the store receives no more calls about limits")
 def no_calls(context):
     calls = context.site.store.reads + context.site.store.transactions
     assert calls <= context.site.calls_at_end, (calls, context.site.calls_at_end)
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -1,4 +1,4 @@
-"""Steps about upstreams that start again under their id."""
+"""Steps about upstreams that restart under their id."""
 
 import json
 from contextlib import suppress
@@ -21,21 +21,21 @@
 from deckcourse.platform.dialect import PlatformDialect
 from deckcourse.platform.rows import PlatformRows
 
-# Values of `born` that are no whole number, and one that is left out.
+# Values of `born` that are not integers, and the word for a missing one.
 ODD = {"fraction": 5.5, "text": "7", "null": None}
 NAMELESS = "nameless"
 SERVICE = "crm"
 
 
 def start_of(word):
-    """Return the part of what a runner says that tells its start."""
+    """Return the fields of a runner's message that hold its start time."""
     if word == NAMELESS:
         return {}
     return {"born": ODD[word] if word in ODD else int(word)}
 
 
-class SaidRunner:
-    """A runner whose every answer tells a given start, and that may turn orders down."""
+class ReportingRunner:
+    """A runner whose replies all report a given start time, and that may refuse orders."""
 
     def __init__(self):
         self.start, self.status, self.seen = {}, 202, []
@@ -57,13 +57,13 @@
 
 
 def listed(site, name):
-    """Return what the gateway knows of a runner of layers."""
+    """Return the gateway's row of a runner with layers."""
     rows = site.node.gateway.context.upstreams.of_service("llm")
     return next(each for each in rows if each.address == f"{name}:1")
 
 
 def usable_starts(site, name):
-    """Return the starts of a runner of layers that may get new work."""
+    """Return the start times of the usable incarnations of a runner with layers."""
     rows = site.node.gateway.context.upstreams.usable("llm")
     return [each.start for each in rows if each.address == f"{name}:1"]
 
@@ -80,8 +80,8 @@
 MOVED = LayerPath((PathPart("p", "p:1", 0, LAYERS),), "x", 0, 1.0)
 
 
-async def believed(site, what, upstream):
-    """Ask an upstream or give it an order; return what is believed after it."""
+async def exchange_with(site, what, upstream):
+    """Send an upstream a query or an order; return the result."""
     if what == "report":
         count = await site.control.order_count(upstream)
         return "unanswered" if count is None else f"{count} orders"
@@ -93,41 +93,41 @@
     return str(result)
 
 
-async def say(site, runner, said, asked):
-    """Let one thing be said of the upstream; `asked` are the rows known so far."""
+async def apply_report(site, runner, said, asked):
+    """Apply one report about the upstream; `asked` are the rows known so far."""
     what, _, word = said.rpartition(" ")
     if said == "gone":
         site.store.put("servers", "p", None)
     elif what == "row":
         site.store.put("servers", "p", row_of("p", start_of(word)))
     elif what == "all rows":
-        # A source that knows no changes tells all of its rows.
+        # A source without a change history sends all of its rows.
         site.store.tells_all_rows = True
         site.store.put("servers", "p", row_of("p", start_of(word)))
     else:
         runner.start = start_of(word)
         runner.status = 409 if what == "refused order" else 202
-        # Another upstream at the address turns down whatever names this one.
+        # Another upstream at the address refuses messages to this one.
         runner.is_another = what.startswith("misdirected")
         upstream = asked[0 if what == "old report" else -1]
         call = what.rpartition(" ")[2].replace("order", "place")
-        await believed(site, call, upstream)
+        await exchange_with(site, call, upstream)
     await trio.sleep(0.3)
     site.store.tells_all_rows = False
 
 
-@then("after what was said of one id this start is known")
+@then("after these reports about one id this start time is known")
 def start_known(context):
     wrong = []
     for row in context.table:
         site = GatewayWorld()
-        runner = SaidRunner()
+        runner = ReportingRunner()
 
         async def story(site, row=row, runner=runner):
             site.network.listen("p:1", runner.handle)
             asked = []
             for said in row["said"].split(", "):
-                await say(site, runner, said, asked)
+                await apply_report(site, runner, said, asked)
                 asked += [each for each in known(site) if each not in asked]
             starts = [
                 "-" if getattr(each, "start", None) is None else str(each.start)
@@ -140,7 +140,7 @@
     assert not wrong, wrong
 
 
-@then("of one id this start is known after peers told")
+@then("after these updates from peers about one id this start time is known")
 def start_known_from_peers(context):
     wrong = []
     for row in context.table:
@@ -156,7 +156,7 @@
         replica.take(TableUpdate("servers", None, 1))
         for told in row["told"].split(", "):
             what, _, word = told.rpartition(" ")
-            # One that is behind tells what it knew at a version that has long passed.
+            # A peer that is behind sends the state of a superseded version.
             version = 2 if what.endswith("older") else replica.version + 10
             after = None if what.startswith("all") else 1
             value = json.dumps(row_of("p", start_of(word))).encode()
@@ -169,16 +169,16 @@
 
 
 def do_nothing(*_, **__):
-    """Take a call that nothing follows from."""
+    """Ignore a callback."""
 
 
-@then("each answer counts as this")
+@then("each reply has this result")
 def answers_count(context):
     wrong = []
     for row in context.table:
         for what in ("report", "pulse", "place", "move"):
             site = GatewayWorld()
-            runner = SaidRunner()
+            runner = ReportingRunner()
 
             async def story(site, row=row, runner=runner, what=what):
                 site.network.listen("p:1", runner.handle)
@@ -187,7 +187,7 @@
                 await trio.sleep(0.3)
                 (upstream,) = known(site)
                 runner.start = start_of(row["answers"])
-                got = await believed(site, what, upstream)
+                got = await exchange_with(site, what, upstream)
                 if got != row[what]:
                     wrong.append((row["asked"], row["answers"], what, got))
                 assert set(runner.seen) == {"p"}, runner.seen
@@ -196,9 +196,9 @@
     assert not wrong, wrong
 
 
-@then("upstreams of these ids and starts are all known, each under its own id on the wire")
+@then("upstreams with these ids and start times are distinct, each with its own id on the wire")
 def ids_apart(context):
-    # Two rows of one id are the same upstream: each is looked at in a site of its own.
+    # Two rows of one id are the same upstream, so each is checked in a site of its own.
     instances = []
     for row in context.table:
         site = GatewayWorld()
@@ -217,14 +217,14 @@
     assert len(set(instances)) == len(instances), instances
 
 
-@given("two chains of runners that tell their starts")
+@given("two chains of runners that report their start times")
 def chains_with_starts(context):
     two_chains(context)
     for runner in context.site.runners.values():
         runner.born, runner.slots = 1000, 96
 
 
-@given("a chain of runners that tell their starts, and room in each for all layers")
+@given("a chain of runners that report their start times, each with room for all layers")
 def chain_with_starts(context):
     context.site = GatewayWorld()
     for name, first in (("x1", 0), ("x2", 4)):
@@ -232,8 +232,8 @@
 
 
 @when(
-    "{part} starts again after {count:d} events, its connections {connections}, and that is told "
-    "by {told}"
+    "{part} restarts after {count:d} events, its connections {connections}, and"
+    " {told} reports it"
 )
 def starts_again_under_stream(context, part, count, connections, told):
     async def change(site):
@@ -254,20 +254,20 @@
     ask_while(context, count, change, rest=1.5, after=look)
 
 
-@then("nothing counts as held or under way at the older start")
+@then("nothing counts as held or in flight at the older incarnation")
 def nothing_at_older(context):
     assert context.left == (None, 0), context.left
     assert context.newer.start == 2000, context.newer
 
 
-@when("the first upstream of a stream starts again three times under it")
+@when("the first stage of a stream restarts three times during the stream")
 def three_restarts(context):
     async def change(site):
         for number in range(3):
             firsts = [each.instance for each in site.runs]
             before = site.runners[firsts[-1]]
             after = before.restart(2000 + number, tells=False)
-            # It holds again what it held, so that the next try may go there.
+            # Restores its layers, so that the next attempt may be sent there.
             after.first, after.end = before.first, before.end
             site.store.put("servers", after.instance, after.row())
             await trio.sleep(0.1)
@@ -276,7 +276,7 @@
     assert len(context.site.runs) == 4, context.site.runs
 
 
-@given("a chain of runners that tell their starts, and an empty one that a gap needs")
+@given("a chain of runners that report their start times, and an empty one to fill a gap")
 def chain_and_empty(context):
     chain_with_starts(context)
     engine = context.site.config["services"][0]["engine"]
@@ -284,7 +284,7 @@
     context.site.add("x3", "llm", "x").born = 1000
 
 
-@when("x2 starts again and that is told by {told}")
+@when("x2 restarts and {told} reports it")
 def starts_again_at_rest(context, told):
     async def story(site):
         old = listed(site, "x2")
@@ -300,27 +300,27 @@
     context.site.play(story)
 
 
-@then("every layer is ordered again within {late:g} seconds of that word")
+@then("every layer is ordered again within {late:g} seconds of that report")
 def ordered_again(context, late):
     assert context.ordered_after <= late, (context.ordered_after, context.site.lines)
 
 
-@when("x2 is lost, and x3 starts again and takes the order that was meant for its older start")
+@when("x2 is lost, and x3 restarts and accepts the order meant for its older incarnation")
 def newer_takes_order(context):
     times = context.times = SimpleNamespace(row=None, order=None)
 
     async def story(site):
         async def take(order, exchange):
-            # The crash comes between the question for the count of orders and the order.
+            # The crash happens between the query for the order count and the order.
             runner = site.runners["x3"] = site.runners["x3"].restart(2000, tells=False)
-            runner.orders, runner.on_order = 1, turn_down
+            runner.orders, runner.on_order = 1, refuse
             await exchange.whole(202, (), json.dumps(runner.told_start).encode())
 
-        async def turn_down(order, exchange):
+        async def refuse(order, exchange):
             times.order = times.order or trio.current_time()
             await exchange.whole(409, (), json.dumps({"born": 2000}).encode())
 
-        # The order that is under way is answered, as one that the restart was quick enough for.
+        # The order in flight gets a reply, as if the restart had been quick enough.
         site.network.kill = lambda address, kept=site.network.kill: (
             None if address == "x3:1" else kept(address)
         )
@@ -346,7 +346,7 @@
     assert times.order - times.row <= late, (times, context.site.lines)
 
 
-@when("x2 starts again while the store is away and only a report tells of it")
+@when("x2 restarts while the store is unavailable and only a report shows it")
 def restart_without_store(context):
     async def story(site):
         old = listed(site, "x2")
@@ -378,13 +378,13 @@
     assert context.usable == [2000], (context.usable, context.site.lines[-8:])
 
 
-@given("a plain upstream that tells its start")
+@given("a plain upstream that reports its start time")
 def plain_with_start(context):
     context.site = GatewayWorld()
     context.site.add("p1", SERVICE).born = 1000
 
 
-@when("it starts again silently between two calls")
+@when("it restarts between two calls without closing its connections")
 def silent_restart(context):
     async def story(site):
         assert (await site.ask("again", "r1")).status == 200
