--- a/deckcourse/gateway/active_stream.py
+++ b/deckcourse/gateway/active_stream.py
@@ -1,7 +1,7 @@
-"""One stream on its way: its path, whether it stands still, and why it was interrupted.
+"""The state of one active stream: its path, whether it is stalled, and why it was interrupted.
 
-How long a stream may bring nothing before it counts as standing follows from its own usual gap
-between events.
+How long a stream may go without an event before it counts as stalled depends on the average gap
+between its own events.
 """
 
 from collections.abc import Callable, Iterator
@@ -17,22 +17,22 @@
 
 __all__ = ["ActiveStream", "Interruption", "StreamInterruptedError"]
 
-# A stream is asked about after so many times its own usual gap, within these parts of the longest
-# pause that its route allows. Where the route says nothing that pause counts as this long, seconds.
-# Sooner, most streams asked about only wait for the prompt of another.
-USUAL_GAPS = 2.5
-SHORTEST_PART = 0.3
-LONGEST_PART = 0.6
-USUAL_PAUSE_SECONDS = 0.2
-# What a stream's gap is taken for before it has shown one, and how much a new gap counts.
-FIRST_USUAL_GAP_SECONDS = 0.02
+# A stream counts as stalled after this many times its average gap, limited to these shares of the
+# longest pause that its route allows, or of the default pause if the route sets none. With a lower
+# limit, most stalled streams would only be waiting for the prompt of another request.
+STALL_GAP_FACTOR = 2.5
+MIN_PAUSE_SHARE = 0.3
+MAX_PAUSE_SHARE = 0.6
+DEFAULT_MAX_PAUSE_SECONDS = 0.2
+# Average gap assumed before the first one is measured, and the weight of each new gap.
+INITIAL_GAP_SECONDS = 0.02
 NEW_GAP_WEIGHT = 0.2
-# A first event may take longer, since prompts are read and others go first, seconds.
-FIRST_GAP_SECONDS = 0.15
+# The first event may take longer, because the prompt is processed and other requests queue ahead.
+FIRST_EVENT_TIMEOUT_SECONDS = 0.15
 
 
 class Interruption(StrEnum):
-    """Why a stream was taken from its upstream."""
+    """Why a stream was detached from its upstream."""
 
     FIRST_SILENT = "first-silent"
     NO_OTHER_PATH = "no-other-path"
@@ -40,19 +40,19 @@
 
 
 class StreamInterruptedError(Exception):
-    """The stream was taken from its upstream; `ActiveStream.interruption` says why."""
+    """The stream was detached from its upstream; `ActiveStream.interruption` holds the reason."""
 
 
 @dataclass(eq=False)
 class ActiveStream:
-    """One stream on its way.
-
-    `longest_pause` is what its route allows between events, seconds; 0 where it says nothing.
-    `progress_at` is when something last came, or when it was sent. `take_retry` takes one retry for
-    it and tells whether there was one: without, it must be left where it is. `waits_for` is the
-    upstream of its path that the first one named, `next_move_at` when it may be moved again.
-    `ended` says that its upstream has nothing to do with it any more. `run` is its
-    beginning there.
+    """One attempt of a stream at the first upstream of its path.
+
+    `max_pause_seconds` is the longest gap between events that its route allows, 0 if none is set.
+    `progress_at` is when the last event came, or when the request was sent. `reserve_retry`
+    reserves a retry and returns whether there was one; without it the stream must stay on its path.
+    `blocking_instance` is the upstream that the first stage reported as blocking the stream.
+    `next_move_at` is when the stream may be moved again. `has_ended` is set once its upstream no
+    longer holds the stream. `execution` describes the start of its execution there.
     """
 
     request_id: str
@@ -60,76 +60,76 @@
     model: ModelSpec
     path: LayerPath
     progress_at: float
-    longest_pause: float = 0.0
-    begun: bool = False
-    usual_gap: float = FIRST_USUAL_GAP_SECONDS
-    waiting: bool = True
-    waits_for: str = ""
-    moving: bool = False
-    ended: bool = False
-    run: RunStart = RunStart()
+    max_pause_seconds: float = 0.0
+    has_events: bool = False
+    average_gap: float = INITIAL_GAP_SECONDS
+    is_waiting: bool = True
+    blocking_instance: str = ""
+    is_moving: bool = False
+    has_ended: bool = False
+    execution: RunStart = RunStart()
     next_move_at: float = 0.0
-    take_retry: Callable[[], bool] = lambda: False
+    reserve_retry: Callable[[], bool] = lambda: False
     interruption: Interruption | None = None
-    _upstream_wait: trio.CancelScope | None = field(default=None, init=False)
+    _wait_scope: trio.CancelScope | None = field(default=None, init=False)
 
     @property
-    def stands_at(self) -> float:
-        """From when on it counts as standing still if nothing comes, on trio's clock."""
-        limit = FIRST_GAP_SECONDS
-        if self.begun:
-            pause = self.longest_pause or USUAL_PAUSE_SECONDS
-            limit = max(SHORTEST_PART * pause, USUAL_GAPS * self.usual_gap)
-            limit = min(limit, LONGEST_PART * pause)
+    def stalled_at(self) -> float:
+        """When the stream counts as stalled unless an event comes before, on trio's clock."""
+        limit = FIRST_EVENT_TIMEOUT_SECONDS
+        if self.has_events:
+            pause = self.max_pause_seconds or DEFAULT_MAX_PAUSE_SECONDS
+            limit = max(MIN_PAUSE_SHARE * pause, STALL_GAP_FACTOR * self.average_gap)
+            limit = min(limit, MAX_PAUSE_SHARE * pause)
         return self.progress_at + limit
 
     @property
-    def at_upstream(self) -> bool:
-        """Whether its upstream still has it: it has not ended there and was not taken away."""
-        return self.interruption is None and not self.ended
+    def is_at_upstream(self) -> bool:
+        """Whether its upstream still holds it: neither ended nor interrupted."""
+        return self.interruption is None and not self.has_ended
 
     @contextmanager
     def interruptible(self) -> Iterator[None]:
-        """Wait for the upstream inside; whatever goes to the caller is written outside.
+        """Enclose a wait for the upstream; writes to the caller must stay outside.
 
-        An interruption takes the stream from its upstream and from nothing else: where it also met
-        the writing to the caller, a head was taken for sent that never left.
+        An interruption may cancel only the wait for the upstream: when it also cancelled a write to
+        the caller, a response head counted as sent that never was.
 
         Raises:
-          StreamInterruptedError: the stream was taken from its upstream, now or earlier.
+          StreamInterruptedError: the stream was detached from its upstream, now or earlier.
         """
         with trio.CancelScope() as scope:
-            self._upstream_wait = scope
+            self._wait_scope = scope
             if self.interruption is not None:
                 scope.cancel()
             try:
                 yield
             finally:
-                self._upstream_wait = None
+                self._wait_scope = None
         if scope.cancelled_caught:
             raise StreamInterruptedError
 
     def note_event(self, now: float) -> None:
-        """Note that events came."""
-        if self.begun:
+        """Record that events came."""
+        if self.has_events:
             gap = now - self.progress_at
-            self.usual_gap += NEW_GAP_WEIGHT * (gap - self.usual_gap)
-        self.begun = True
-        self.waits_for = ""
+            self.average_gap += NEW_GAP_WEIGHT * (gap - self.average_gap)
+        self.has_events = True
+        self.blocking_instance = ""
         self.progress_at = now
 
     def interrupt(self, why: Interruption) -> bool:
-        """Take the stream from its upstream, if it may go on elsewhere; return whether it was.
+        """Detach the stream from its upstream if it may be retried; return whether it was detached.
 
-        One that may not is better left: its upstream may go on, and ends it otherwise.
+        A stream that may not be retried stays: its upstream may still continue it or end it.
         """
-        if self.at_upstream and self.take_retry():
+        if self.is_at_upstream and self.reserve_retry():
             self.interruption = why
-            if self._upstream_wait is not None:
-                self._upstream_wait.cancel()
+            if self._wait_scope is not None:
+                self._wait_scope.cancel()
             return True
         return False
 
-    def stands(self, now: float) -> bool:
-        """Return whether it brings nothing for longer than usual."""
-        return self.waiting and not self.moving and now > self.stands_at
+    def is_stalled(self, now: float) -> bool:
+        """Return whether no event came for longer than expected."""
+        return self.is_waiting and not self.is_moving and now > self.stalled_at
--- a/deckcourse/gateway/stalls.py
+++ b/deckcourse/gateway/stalls.py
@@ -110,7 +110,7 @@
 
     def discard(self, stream: ActiveStream) -> None:
         """Stop watching a stream whose upstream has nothing to do with it any more."""
-        stream.ended = True
+        stream.has_ended = True
         self._streams.discard(stream)
 
     def note_ended(self, upstream: Upstream) -> None:
@@ -136,12 +136,14 @@
 
     def _until_next_look(self, now: float) -> float:
         """Return after how long a stream may stand still at the earliest, seconds."""
-        moments = [each.stands_at for each in self._streams if each.waiting and not each.moving]
+        moments = [
+            each.stalled_at for each in self._streams if each.is_waiting and not each.is_moving
+        ]
         earliest = min(moments, default=now + LONGEST_LOOK_SECONDS)
         return max(LOOK_SECONDS, min(LONGEST_LOOK_SECONDS, earliest - now))
 
     def _look(self, nursery: trio.Nursery, now: float) -> None:
-        standing = {each.path.parts[0].instance for each in self._streams if each.stands(now)}
+        standing = {each.path.parts[0].instance for each in self._streams if each.is_stalled(now)}
         for instance in list(self._asking):
             if instance not in standing and not self._asking[instance].under_way:
                 del self._asking[instance]
@@ -206,7 +208,7 @@
         now = trio.current_time()
         behind: set[str] = set()
         for stream in self._streams:
-            if stream.path.parts[0].instance == first and stream.stands(now):
+            if stream.path.parts[0].instance == first and stream.is_stalled(now):
                 further = {part.instance for part in stream.path.parts[1:]}
                 behind |= further - self._passed_since(stream.progress_at + PASSED_SECONDS)
         return behind
@@ -216,7 +218,7 @@
         return {
             part.instance
             for stream in self._streams
-            if stream.begun and stream.progress_at > moment
+            if stream.has_events and stream.progress_at > moment
             for part in stream.path.parts
         }
 
@@ -272,7 +274,7 @@
         affected = [
             each
             for each in self._streams
-            if each.at_upstream and each.path.parts[0].instance == instance
+            if each.is_at_upstream and each.path.parts[0].instance == instance
         ]
         taken = sum(each.interrupt(Interruption.FIRST_SILENT) for each in affected)
         self._count("stall.first-silent")
@@ -338,25 +340,25 @@
                 requests=len(waiting_for),
             )
         for stream in self._streams:
-            if waiting_for.get(stream.request_id) == culprit.address and stream.stands(now):
-                stream.waits_for = culprit.instance
+            if waiting_for.get(stream.request_id) == culprit.address and stream.is_stalled(now):
+                stream.blocking_instance = culprit.instance
 
     async def _move_all(self) -> None:
         """Move every stream that passes a suspect or an ended start, or waits for somebody."""
         now = trio.current_time()
         async with trio.open_nursery() as nursery:
             for stream in list(self._streams):
-                if not stream.moving and now >= stream.next_move_at and self._must_move(stream):
-                    stream.moving = True
+                if not stream.is_moving and now >= stream.next_move_at and self._must_move(stream):
+                    stream.is_moving = True
                     nursery.start_soon(self._move, stream)
 
     def _must_move(self, stream: ActiveStream) -> bool:
-        if not stream.at_upstream:
+        if not stream.is_at_upstream:
             # Its caller holds a write up; the next path would only be read for nothing.
             return False
         further = [each.instance for each in stream.path.parts[1:]]
         upstreams = self._upstreams
-        return stream.waits_for in further or any(
+        return stream.blocking_instance in further or any(
             upstreams.is_suspect(each) or upstreams.has_ended(each) for each in further
         )
 
@@ -375,7 +377,7 @@
         try:
             await self._offer_paths(stream)
         finally:
-            stream.moving = False
+            stream.is_moving = False
             stream.next_move_at = trio.current_time() + MOVE_PAUSE_SECONDS
 
     async def _offer_paths(self, stream: ActiveStream) -> None:
@@ -384,9 +386,9 @@
         Where none is taken, or a whole path elsewhere is better, the stream is taken from there if
         it may go on elsewhere.
         """
-        avoid = {stream.waits_for} if stream.waits_for else set()
+        avoid = {stream.blocking_instance} if stream.blocking_instance else set()
         for _ in range(MOST_MOVES):
-            if not stream.at_upstream:
+            if not stream.is_at_upstream:
                 return
             path = self._choices(stream.service).onward(
                 stream.model, stream.path.parts[0], frozenset(avoid)
@@ -420,5 +422,5 @@
         )
         if result is MoveResult.MOVED:
             stream.path = path
-            stream.waits_for = ""
+            stream.blocking_instance = ""
             stream.progress_at = trio.current_time()
--- a/deckcourse/gateway/stream.py
+++ b/deckcourse/gateway/stream.py
@@ -1,7 +1,7 @@
-"""One stream of events: each event on at once, each once, in order, over as many paths as needed.
+"""Serves one event stream: forwards each event immediately, exactly once and in order.
 
-An event goes to the caller only when it is whole. Where the upstream breaks off, a route that
-may be resumed goes on at another one behind the last event; the caller sees one answer.
+Only complete events are forwarded. If an upstream fails and the route is resumable, the stream
+resumes on another path after the last forwarded event; the caller sees a single response.
 """
 
 from dataclasses import dataclass
@@ -36,36 +36,37 @@
 
 __all__ = ["StreamCall"]
 
-# Refusals that a request that nobody ran may meet before it is refused itself.
-MOST_TRIES = 5
-# A caller gives a stream up after a pause of two seconds; no new path is looked for later.
-LONGEST_PAUSE_SECONDS = 1.8
-# Between two looks for a path while a stream that has begun has none, seconds.
-PATH_WAIT_SECONDS = 0.03
-# When to come back while a model isn't whole, seconds: neighbours load missing layers by then.
-NO_PATH_RETRY_SECONDS = 1.0
-# When to come back after every path was full, seconds: room comes free with each stream that ends,
-# and there is still time for a first event within the objective.
-FULL_RETRY_SECONDS = 0.25
-# When to come back while everything queues, seconds: a request that is refused again costs more
-# than one that comes late.
-OVERLOAD_RETRY_SECONDS = 1.2
-# For how long an upstream that resets or refuses connections gets no new work, seconds.
-UNREACHABLE_SECONDS = 2.0
+# Attempts after which a request that no upstream has executed is refused.
+MAX_ATTEMPTS = 5
+# Callers abandon a stream after two seconds without data; the search for a path ends before that.
+MAX_PAUSE_SECONDS = 1.8
+# Interval between two searches for a path for a stream whose response has started.
+PATH_SEARCH_INTERVAL_SECONDS = 0.03
+# Retry-after value while some layers of a model are unavailable: neighbouring upstreams load them
+# within this time.
+NO_PATH_RETRY_AFTER_SECONDS = 1.0
+# Retry-after value when every path was full: each stream that ends frees capacity, and a retry
+# after this time can still deliver its first event within the objective.
+FULL_RETRY_AFTER_SECONDS = 0.25
+# Retry-after value while requests queue on every path: a second refusal costs more than a late
+# start.
+OVERLOAD_RETRY_AFTER_SECONDS = 1.2
+# How long an upstream that resets or refuses connections gets no new requests.
+UNREACHABLE_COOLDOWN_SECONDS = 2.0
 OK = 200
 SERVER_ERROR = 500
 
 
 @dataclass(frozen=True)
 class _Finished:
-    """The caller has the whole answer."""
+    """The complete response was delivered to the caller."""
 
     status: int
 
 
 @dataclass(frozen=True)
 class _Refused:
-    """Nobody ran it: there was no room, or a part was missing or unreachable."""
+    """No upstream executed the request: no capacity, or layers missing or unreachable."""
 
     reason: RetryReason
     message: str
@@ -73,135 +74,155 @@
 
 @dataclass(frozen=True)
 class _Broken:
-    """It ran, at least in part, and can't go on where it was."""
+    """The request was executed at least in part and can't continue on its path."""
 
     message: str
 
 
-_End = _Finished | _Refused | _Broken | Withheld
+_AttemptResult = _Finished | _Refused | _Broken | Withheld
 
 
 class StreamCall:
-    """One stream from admission to its outcome."""
+    """Serves one stream request from admission to its outcome."""
 
     def __init__(self, context: GatewayContext, admitted: Admitted) -> None:
         self._context = context
         self._admitted = admitted
         self._choice = context.choices(admitted.service.name)
-        self._avoid: set[str] = set()
-        self._runs = 0
-        # Whether any run of it brought events.
-        self._ran_well = False
+        self._avoided: set[str] = set()
+        self._executions = 0
+        # Whether any attempt has returned events.
+        self._has_had_events = False
         self._retries = StreamRetries(context, admitted)
         self._last_event = admitted.caller.last_event
-        self._progress_at = trio.current_time()
+        self._last_progress_at = trio.current_time()
         self._arrived_at = trio.current_time()
         self._choice.watch.note_request()
 
     @property
-    def _begun(self) -> bool:
+    def _has_started(self) -> bool:
         return self._admitted.exchange.started
 
     async def run(self) -> Outcome:
-        """Return the outcome; after Answered the caller has the whole answer."""
+        """Serve the stream; an Answered outcome means that the caller has the full response."""
         self._retries.earn()
         try:
-            return await within_deadline(self._admitted, self._tries, lambda: self._runs > 0)
+            return await within_deadline(
+                self._admitted, self._run_attempts, lambda: self._executions > 0
+            )
         finally:
             self._retries.close()
 
-    async def _tries(self) -> Outcome:
-        last: _Refused | _Broken | None = None
-        number = 0
+    async def _run_attempts(self) -> Outcome:
+        last_failure: _Refused | _Broken | None = None
+        attempts = 0
         while True:
-            refusal = refuse_quarantined(self._context, self._admitted, self._runs > 0)
-            if refusal is not None and not self._ran_well:
+            refusal = refuse_quarantined(self._context, self._admitted, self._executions > 0)
+            if refusal is not None and not self._has_had_events:
                 return refusal
-            if number and self._runs and not await self._retries.wait(self._progress_at):
-                return self._give_up(last, NotRunReason.RETRY_BUDGET, FULL_RETRY_SECONDS)
-            path = await self._path()
+            if (
+                attempts
+                and self._executions
+                and not await self._retries.wait(self._last_progress_at)
+            ):
+                return self._give_up(
+                    last_failure, NotRunReason.RETRY_BUDGET, FULL_RETRY_AFTER_SECONDS
+                )
+            path = await self._find_path()
             if path is None:
-                return self._no_path(last)
-            refusal = None if self._runs else self._refuse(path, number, last)
+                return self._no_path_outcome(last_failure)
+            refusal = (
+                None
+                if self._executions
+                else self._refuse_before_execution(path, attempts, last_failure)
+            )
             if refusal is not None:
                 return refusal
             if not self._context.may_send():
-                return self._give_up(last, NotRunReason.NOT_READY, FULL_RETRY_SECONDS)
+                return self._give_up(last_failure, NotRunReason.NOT_READY, FULL_RETRY_AFTER_SECONDS)
             if await self._context.crashes.wait_for_turn(self._admitted, path.parts[0].instance):
-                if number:
+                if attempts:
                     self._retries.keep()
                 continue
-            end = await self._attempt_with_token(path)
-            if isinstance(end, Withheld):
-                if number:
+            result = await self._attempt_with_token(path)
+            if isinstance(result, Withheld):
+                if attempts:
                     self._retries.keep()
                 await trio.lowlevel.checkpoint()
                 continue
-            number += 1
-            if isinstance(end, _Finished):
+            attempts += 1
+            if isinstance(result, _Finished):
                 self._context.returns(self._admitted.service.name).note_answered()
-                return Answered(0, end.status)
-            last = end
-            self._log_try(path, end)
-            if isinstance(end, _Broken) and not self._retries.may_go_on():
+                return Answered(0, result.status)
+            last_failure = result
+            self._log_attempt(path, result)
+            if isinstance(result, _Broken) and not self._retries.may_go_on():
                 break
-            if not self._runs and number == MOST_TRIES:
+            if not self._executions and attempts == MAX_ATTEMPTS:
                 break
-            if isinstance(end, _Broken) and not self._ran_well:
+            if isinstance(result, _Broken) and not self._has_had_events:
                 first = path.parts[0].instance
                 await self._context.crashes.wait_behind_others(self._admitted, first)
-        return self._give_up(last, NotRunReason.UPSTREAM_REFUSED, FULL_RETRY_SECONDS)
+        return self._give_up(last_failure, NotRunReason.UPSTREAM_REFUSED, FULL_RETRY_AFTER_SECONDS)
 
-    def _refuse(
-        self, path: LayerPath, number: int, last: _Refused | _Broken | None
+    def _refuse_before_execution(
+        self, path: LayerPath, attempts: int, last_failure: _Refused | _Broken | None
     ) -> Outcome | None:
-        """Return why a request that nobody ran isn't sent on a path, None where it is."""
+        """Return the refusal of a request that was not executed yet, None if it may be sent."""
         if self._choice.overloaded(path):
-            message = "every path has more waiting than it can serve in time"
-            return NotRun(NotRunReason.OVERLOADED, message, self._later(OVERLOAD_RETRY_SECONDS))
-        if number and self._choice.refused_of_late(path):
-            return self._give_up(last, NotRunReason.UPSTREAM_REFUSED, FULL_RETRY_SECONDS)
-        if number and not self._retries.take(has_run=False):
-            return self._give_up(last, NotRunReason.RETRY_BUDGET, FULL_RETRY_SECONDS)
+            message = "every path has more requests queued than it can serve in time"
+            return NotRun(
+                NotRunReason.OVERLOADED, message, self._retry_after(OVERLOAD_RETRY_AFTER_SECONDS)
+            )
+        if attempts and self._choice.refused_of_late(path):
+            return self._give_up(
+                last_failure, NotRunReason.UPSTREAM_REFUSED, FULL_RETRY_AFTER_SECONDS
+            )
+        if attempts and not self._retries.take(has_run=False):
+            return self._give_up(last_failure, NotRunReason.RETRY_BUDGET, FULL_RETRY_AFTER_SECONDS)
         return None
 
     def _give_up(
-        self, last: _Refused | _Broken | None, reason: NotRunReason, retry_after: float
+        self, last_failure: _Refused | _Broken | None, reason: NotRunReason, retry_after: float
     ) -> Outcome:
-        message = last.message if last is not None else "no usable upstreams hold every layer"
-        if self._runs:
+        message = (
+            last_failure.message
+            if last_failure is not None
+            else "no usable upstreams hold every layer"
+        )
+        if self._executions:
             return Unknown(UnknownReason.UPSTREAM_LOST, f"{message}; given up: {reason}")
-        return NotRun(reason, message, self._later(retry_after))
+        return NotRun(reason, message, self._retry_after(retry_after))
 
-    def _no_path(self, last: _Refused | _Broken | None) -> Outcome:
-        """Return the outcome where no path is left: those who asked for time say when one is."""
+    def _no_path_outcome(self, last_failure: _Refused | _Broken | None) -> Outcome:
+        """Return the outcome if no path is usable, with the end of the backoffs as retry-after."""
         opens_at = self._choice.opens_at(self._admitted.service.model)
-        if self._runs or opens_at is None:
-            return self._give_up(last, NotRunReason.NO_ROUTE, NO_PATH_RETRY_SECONDS)
-        # Rejected at once: waiting would not help the caller.
+        if self._executions or opens_at is None:
+            return self._give_up(last_failure, NotRunReason.NO_ROUTE, NO_PATH_RETRY_AFTER_SECONDS)
+        # Refused immediately: waiting here would not serve the caller sooner.
         seconds = max(0.0, opens_at - trio.current_time())
-        message = f"every path begins at an upstream that takes no request for {seconds:.2f} s"
-        return NotRun(NotRunReason.UPSTREAM_BACKOFF, message, self._later(seconds))
+        message = f"the first upstream of every path accepts no requests for {seconds:.2f} s"
+        return NotRun(NotRunReason.UPSTREAM_BACKOFF, message, self._retry_after(seconds))
 
-    def _later(self, seconds: float) -> float:
-        """Return a time to come back, `seconds` at least, when its turn among the refused comes."""
+    def _retry_after(self, seconds: float) -> float:
+        """Return a retry-after value of at least `seconds` from the schedule of refused callers."""
         return time_to_return(self._context, self._admitted, seconds)
 
-    async def _path(self) -> LayerPath | None:
-        """Return a path; a stream that has begun waits a little for one."""
+    async def _find_path(self) -> LayerPath | None:
+        """Return a path, None if there is none; waits for one if the response has started."""
         while True:
-            avoid = frozenset(self._avoid)
-            path = self._choose(avoid)
-            if path is None and avoid and self._begun:
-                path = self._choose(frozenset())
-            if path is not None or not self._begun:
+            avoid = frozenset(self._avoided)
+            path = self._choose_path(avoid)
+            if path is None and avoid and self._has_started:
+                path = self._choose_path(frozenset())
+            if path is not None or not self._has_started:
                 return path
-            if trio.current_time() >= self._progress_at + LONGEST_PAUSE_SECONDS:
+            if trio.current_time() >= self._last_progress_at + MAX_PAUSE_SECONDS:
                 return None
-            await trio.sleep(PATH_WAIT_SECONDS)
+            await trio.sleep(PATH_SEARCH_INTERVAL_SECONDS)
 
-    def _choose(self, avoid: frozenset[str]) -> LayerPath | None:
-        """Return a path, away from requests that may end their upstreams where there is one."""
+    def _choose_path(self, avoid: frozenset[str]) -> LayerPath | None:
+        """Return a path, if possible one without upstreams that are executing suspect requests."""
         model = self._admitted.service.model
         trials = self._context.crashes.trial_upstreams()
         choose = self._choice.choose
@@ -210,8 +231,8 @@
         path = choose(model, avoid | trials) if trials else None
         return path or choose(model, avoid)
 
-    async def _attempt_with_token(self, path: LayerPath) -> _End:
-        """Try a path with a token for its first upstream; returns the token if unspent."""
+    async def _attempt_with_token(self, path: LayerPath) -> _AttemptResult:
+        """Attempt a path with a token for its first upstream; gives an unused token back."""
         token = await self._context.rates.acquire(path.parts[0].instance)
         if token is None:
             return Withheld()
@@ -220,7 +241,7 @@
         finally:
             await self._context.rates.give_back(token)
 
-    async def _attempt(self, path: LayerPath, token: SendingToken) -> _End:
+    async def _attempt(self, path: LayerPath, token: SendingToken) -> _AttemptResult:
         context = self._context
         first = path.parts[0]
         stream = ActiveStream(
@@ -230,7 +251,7 @@
             path,
             trio.current_time(),
             self._admitted.route.gap_objective,
-            take_retry=self._retries.take_ahead,
+            reserve_retry=self._retries.take_ahead,
         )
         context.upstreams.begin(first.instance)
         context.monitor.add(stream)
@@ -238,24 +259,24 @@
             with stream.interruptible():
                 connection = await context.pool.acquire(first.address, unlike=stream.request_id)
             with context.pool.kept_or_closed(connection):
-                end = await self._exchange(connection, stream, token)
+                result = await self._exchange(connection, stream, token)
         except ConnectionLostError as failure:
-            end = await self._on_failure(stream, failure)
+            result = await self._on_failure(stream, failure)
         except StreamInterruptedError:
             return await self._on_interruption(stream)
         finally:
             context.monitor.discard(stream)
             context.crashes.end_run(self._admitted, first.instance)
             context.upstreams.end(first.instance)
-        if isinstance(end, _Finished | _Broken):
-            context.upstreams.note(first.instance, isinstance(end, _Broken))
-        return end
+        if isinstance(result, _Finished | _Broken):
+            context.upstreams.note(first.instance, isinstance(result, _Broken))
+        return result
 
-    async def _on_interruption(self, stream: ActiveStream) -> _End:
+    async def _on_interruption(self, stream: ActiveStream) -> _AttemptResult:
         if stream.interruption is not Interruption.BETTER_ELSEWHERE:
-            self._avoid.add(stream.path.parts[0].instance)
+            self._avoided.add(stream.path.parts[0].instance)
         if stream.interruption is Interruption.FIRST_SILENT:
-            await self._note_broken(stream)
+            await self._report_interrupted(stream)
         self._context.count(f"retry.{RetryReason.STAGE_STALLED}")
         exchange = self._admitted.exchange
         self._context.log(
@@ -269,28 +290,30 @@
         )
         return _Broken(str(stream.interruption))
 
-    async def _on_failure(self, stream: ActiveStream, failure: ConnectionLostError) -> _End:
+    async def _on_failure(
+        self, stream: ActiveStream, failure: ConnectionLostError
+    ) -> _AttemptResult:
         instance = stream.path.parts[0].instance
-        self._avoid.add(instance)
+        self._avoided.add(instance)
         if failure.kind is FailureKind.UNSENT:
-            self._context.upstreams.suspect(instance, UNREACHABLE_SECONDS, lost=True)
+            self._context.upstreams.suspect(instance, UNREACHABLE_COOLDOWN_SECONDS, lost=True)
             self._context.pool.forget(stream.path.parts[0].address)
             self._context.count(f"retry.{RetryReason.UNREACHABLE}")
             return _Refused(RetryReason.UNREACHABLE, failure.message)
-        await self._note_broken(stream)
+        await self._report_interrupted(stream)
         self._context.count(f"retry.{RetryReason.STAGE_LOST}")
         return _Broken(failure.message)
 
-    async def _note_broken(self, stream: ActiveStream) -> None:
-        """Note that a run broke off, if nothing of it came: what had begun to run did no harm."""
+    async def _report_interrupted(self, stream: ActiveStream) -> None:
+        """Report an interrupted execution unless events came, which clear the request."""
         upstream = self._context.upstreams.last_known(stream.path.parts[0].instance)
-        if upstream is not None and not stream.begun and not self._ran_well:
-            await self._context.crashes.note_broken(self._admitted, upstream, stream.run)
+        if upstream is not None and not stream.has_events and not self._has_had_events:
+            await self._context.crashes.note_broken(self._admitted, upstream, stream.execution)
 
     async def _exchange(
         self, connection: UpstreamConnection, stream: ActiveStream, token: SendingToken
-    ) -> _End:
-        """Send the request and pass its answer on."""
+    ) -> _AttemptResult:
+        """Send the request and forward its response."""
         admitted = self._admitted
         if is_withheld(self._context, token):
             return Withheld()
@@ -303,90 +326,90 @@
             self._last_event,
         )
         stream.progress_at = trio.current_time()
-        self._runs += 1
-        stream.run = self._context.crashes.begin_run(admitted, dispatch.instance)
+        self._executions += 1
+        stream.execution = self._context.crashes.begin_run(admitted, dispatch.instance)
         self._retries.note_run(dispatch.instance)
         self._choice.watch.note_begun(dispatch.instance)
         try:
             with stream.interruptible():
                 reply, facts = await send_request(self._context, admitted, connection, dispatch)
         except ConnectionLostError as failure:
-            self._runs -= failure.kind is FailureKind.UNSENT
+            self._executions -= failure.kind is FailureKind.UNSENT
             raise
         if reply.status == OK:
             return await self._relay(reply, stream)
-        stream.waiting = False
+        stream.is_waiting = False
         with stream.interruptible():
             body = await reply.whole_body()
         if facts.not_run:
-            self._runs -= 1
+            self._executions -= 1
             self._retries.note_refused(stream.path.parts[0].instance)
             return self._on_refusal(stream, reply.status, facts)
         refuse_joined(reply, body)
-        return await self._on_other_answer(reply, body)
+        return await self._on_other_response(reply, body)
 
-    async def _on_other_answer(self, reply: UpstreamReply, body: bytes) -> _End:
-        if self._begun or (reply.status >= SERVER_ERROR and self._retries.may_go_on()):
+    async def _on_other_response(self, reply: UpstreamReply, body: bytes) -> _AttemptResult:
+        if self._has_started or (reply.status >= SERVER_ERROR and self._retries.may_go_on()):
             return _Broken(f"upstream answered {reply.status}")
         await self._admitted.exchange.whole(reply.status, end_to_end(reply.headers), body)
         return _Finished(reply.status)
 
-    def _on_refusal(self, stream: ActiveStream, status: int, facts: ReplyFacts) -> _End:
-        """Learn from a refusal: who is full, gone or without its part."""
-        culprit = stream.path.parts[0].instance
+    def _on_refusal(self, stream: ActiveStream, status: int, facts: ReplyFacts) -> _AttemptResult:
+        """Record which upstream of the path refused: it is full, lost or lacks its layers."""
+        refusing = stream.path.parts[0].instance
         if facts.at_fault:
             row = self._context.upstreams.at_address(facts.at_fault, stream.service)
-            culprit = row.instance if row is not None else culprit
-        self._avoid.add(culprit)
-        self._choice.note_full(culprit)
+            refusing = row.instance if row is not None else refusing
+        self._avoided.add(refusing)
+        self._choice.note_full(refusing)
         self._context.count(f"retry.{RetryReason.REFUSED}.{status}")
-        return _Refused(RetryReason.REFUSED, f"{culprit} answered {status}")
+        return _Refused(RetryReason.REFUSED, f"{refusing} answered {status}")
 
-    async def _relay(self, reply: UpstreamReply, stream: ActiveStream) -> _End:
+    async def _relay(self, reply: UpstreamReply, stream: ActiveStream) -> _AttemptResult:
         reader = EventReader(self._last_event)
         while True:
-            stream.waiting = True
+            stream.is_waiting = True
             with stream.interruptible():
                 data = await reply.next_data()
-            stream.waiting = False
+            stream.is_waiting = False
             if data is None:
                 break
             events = reader.feed(data)
             if events:
-                self._note_ran(stream)
-                await self._pass_on(reply, stream, events)
+                self._record_events(stream)
+                await self._forward_events(reply, stream, events)
                 stream.note_event(trio.current_time())
             if reader.fault:
                 self._context.count("event.malformed")
                 raise ConnectionLostError(FailureKind.MALFORMED, reader.fault)
         if reader.incomplete:
-            raise ConnectionLostError(FailureKind.LOST, "the stream ended inside an event")
+            raise ConnectionLostError(FailureKind.LOST, "the stream ended within an event")
         if self._last_event is None:
             raise ConnectionLostError(FailureKind.LOST, "the stream ended before its first event")
-        await self._end(reply, reader.trailing)
+        await self._finish_response(reply, reader.trailing)
         return _Finished(OK)
 
-    def _note_ran(self, stream: ActiveStream) -> None:
-        """Note that events came: this is no request that ends its upstreams."""
-        if not self._ran_well:
-            self._ran_well = True
+    def _record_events(self, stream: ActiveStream) -> None:
+        """Record that events came, which clears the request of crashing its upstreams."""
+        if not self._has_had_events:
+            self._has_had_events = True
             first = stream.path.parts[0].instance
             self._context.crashes.note_ran(self._admitted, first)
             self._context.crashes.end_run(self._admitted, first)
 
-    async def _end(self, reply: UpstreamReply, trailing: bytes) -> None:
-        await self._start(reply)
+    async def _finish_response(self, reply: UpstreamReply, trailing: bytes) -> None:
+        await self._start_response(reply)
         if trailing:
             await self._admitted.exchange.send(trailing)
         await self._admitted.exchange.finish()
 
-    def _measure(self, stream: ActiveStream, event: Event) -> None:
-        """Record how long the caller waited for an event, and say so where it was too long."""
-        begun = self._begun
-        waited = trio.current_time() - (self._progress_at if begun else self._arrived_at)
+    def _record_wait(self, stream: ActiveStream, event: Event) -> None:
+        """Record how long the caller waited for an event; log it if the objective was missed."""
+        has_started = self._has_started
+        waited = trio.current_time() - (self._last_progress_at if has_started else self._arrived_at)
         route = self._admitted.route
-        objective = route.gap_objective if begun else route.objective
-        self._context.timing("gap" if begun else "first-event", waited)
+        objective = route.gap_objective if has_started else route.objective
+        self._context.timing("gap" if has_started else "first-event", waited)
         if objective and waited > objective:
             self._context.log(
                 "late-event",
@@ -394,34 +417,34 @@
                 event=event.id,
                 waited_ms=round(waited * 1000),
                 instance=stream.path.parts[0].instance,
-                runs=self._runs,
+                runs=self._executions,
             )
 
-    async def _pass_on(
+    async def _forward_events(
         self, reply: UpstreamReply, stream: ActiveStream, events: list[Event]
     ) -> None:
-        self._measure(stream, events[0])
-        await self._start(reply)
+        self._record_wait(stream, events[0])
+        await self._start_response(reply)
         await self._admitted.exchange.send(b"".join(each.data for each in events))
-        self._progress_at = trio.current_time()
+        self._last_progress_at = trio.current_time()
         self._last_event = events[-1].id
 
-    async def _start(self, reply: UpstreamReply) -> None:
-        if not self._begun:
+    async def _start_response(self, reply: UpstreamReply) -> None:
+        if not self._has_started:
             headers = tuple(
                 each for each in end_to_end(reply.headers) if each[0] != b"content-length"
             )
             await self._admitted.exchange.start(OK, headers)
 
-    def _log_try(self, path: LayerPath, end: _Refused | _Broken) -> None:
+    def _log_attempt(self, path: LayerPath, result: _Refused | _Broken) -> None:
         self._context.log(
             "try-failed",
             request=self._admitted.caller.request_id,
             instance=path.parts[0].instance,
             parts=len(path.parts),
-            kind=type(end).__name__.strip("_").lower(),
-            what=end.message,
+            kind=type(result).__name__.strip("_").lower(),
+            what=result.message,
             last_event=self._last_event,
-            runs=self._runs,
-            identity=self._admitted.identity if isinstance(end, _Broken) else "",
+            runs=self._executions,
+            identity=self._admitted.identity if isinstance(result, _Broken) else "",
         )
--- a/features/mutants_gateway.py
+++ b/features/mutants_gateway.py
@@ -81,7 +81,7 @@
 
 
 def no_stall_watch():
-    ActiveStream.stands = lambda self, now: False
+    ActiveStream.is_stalled = lambda self, now: False
 
 
 def no_pulses():
@@ -246,20 +246,20 @@
     kept = ActiveStream.interrupt
 
     def interrupt(self, why):
-        self.take_retry = lambda: True
+        self.reserve_retry = lambda: True
         return kept(self, why)
 
     ActiveStream.interrupt = interrupt
 
 
 def interruptions_reach_the_caller():
-    kept = StreamCall._pass_on
+    kept = StreamCall._forward_events
 
     async def pass_on(self, reply, stream, events):
         with stream.interruptible():
             await kept(self, reply, stream, events)
 
-    StreamCall._pass_on = pass_on
+    StreamCall._forward_events = pass_on
 
 
 def torn_connections_go_on():
--- a/features/steps/stall_steps.py
+++ b/features/steps/stall_steps.py
@@ -32,7 +32,9 @@
 def stream_over(names, number):
     parts = tuple(PathPart(name, f"{name}:1", index, index + 1) for index, name in enumerate(names))
     path = LayerPath(parts, "x", 1.0)
-    return ActiveStream(f"r{number}", "s", ModelSpec("m", len(names), 1.0), path, 0.0, begun=True)
+    return ActiveStream(
+        f"r{number}", "s", ModelSpec("m", len(names), 1.0), path, 0.0, has_events=True
+    )
 
 
 @given("a stream over a, b and c that stands still")
