--- a/deckcourse/gateway/stalls.py
+++ b/deckcourse/gateway/stalls.py
@@ -1,8 +1,8 @@
-"""Streams that stand still: who holds them up, and what becomes of them.
+"""Detects stalled streams, finds the blocking upstream and moves the streams to other paths.
 
-A stream that brings nothing for longer than usual is asked about at the first upstream of its
-path, which names the upstream that it waits for. All streams through that one get another path;
-where the first one itself is silent, they begin anew elsewhere.
+For a stalled stream, the monitor queries the first upstream of its path, which reports the upstream
+that the stream waits for. All streams that pass the blocking upstream are moved to other paths. If
+the first upstream doesn't answer, its streams are restarted on other paths.
 """
 
 from collections import defaultdict
@@ -20,66 +20,69 @@
 
 __all__ = ["StallMonitor"]
 
-# Between two looks at the streams, seconds; where none can stand still earlier, so much later.
-LOOK_SECONDS = 0.012
-LONGEST_LOOK_SECONDS = 0.06
-# An upstream that is there says so within 3 ms; one that doesn't in the first time, and then again
-# in the second, counts as lost, seconds.
-PULSE_SECONDS = 0.015
-SECOND_PULSE_SECONDS = 0.025
-# One that is silent for this long once more is lost beyond doubt, seconds: a loaded machine or a
-# lost packet explains less. It is asked again each so many seconds, since it may only have paused.
-DOUBT_SECONDS = 0.1
-RESOLVE_SECONDS = 0.4
-# Where so large a part of a path is silent, this process is more likely cut off itself.
-CUT_OFF_SHARE = 0.5
-# A look that comes so much later than it should says that this process itself was paused, seconds:
-# what waits in its sockets is read first.
-PAUSED_SECONDS = 0.1
-# Questions about streams that turn out not to be stalled become rarer, up to this pause, seconds.
-SHORTEST_ASK_SECONDS = 0.06
-LONGEST_ASK_SECONDS = 0.8
-# A report is 0.2 s old: only after so many questions without a result they become rarer.
-QUICK_QUESTIONS = 5
-# Streams lost together have their last events within this time, two usual gaps, seconds: an
-# event of another stream that comes later shows that its upstreams are there.
-PASSED_SECONDS = 0.05
-# An upstream that answered is not asked again for so long, however many streams stand, seconds.
-PULSE_PAUSE_SECONDS = 0.4
-# For how long an upstream that holds streams up gets no new work, seconds: until its row is gone
-# or it was restarted.
-SUSPECT_SECONDS = 4.0
-# So many unanswered questions in a row tell that the first upstream itself is gone.
-SILENT_QUESTIONS = 2
-# Other paths that a standing stream's first upstream is offered at the most.
-MOST_MOVES = 3
-# An upstream that answers and still holds streams up is told of once in so long, seconds.
-BLAMED_SECONDS = 1.0
-# Between two tries to move one stream, seconds: time for its first event on the new path.
-MOVE_PAUSE_SECONDS = 0.2
+# Shortest and longest interval between two checks of the streams; the next check is due when the
+# next stream can become stalled.
+MIN_CHECK_INTERVAL_SECONDS = 0.012
+MAX_CHECK_INTERVAL_SECONDS = 0.06
+# A live upstream answers a probe within 3 ms; one that misses the first timeout and then the second
+# counts as lost.
+PROBE_TIMEOUT_SECONDS = 0.015
+SECOND_PROBE_TIMEOUT_SECONDS = 0.025
+# A suspected upstream that doesn't answer within this timeout either is confirmed lost: a loaded
+# machine or a lost packet delays an answer by less. Probes are repeated in this interval, since the
+# upstream may only have paused.
+CONFIRMING_PROBE_TIMEOUT_SECONDS = 0.1
+CONFIRMING_PROBE_INTERVAL_SECONDS = 0.4
+# If more than this share of a path's upstreams is silent, this process is probably isolated itself.
+ISOLATION_SHARE = 0.5
+# A check that runs this much too late shows that this process itself was paused: data that waits
+# in its sockets is read first.
+PROCESS_PAUSE_SECONDS = 0.1
+# Interval between queries to an upstream; it grows to the maximum while queries report no blocking
+# upstream.
+MIN_QUERY_INTERVAL_SECONDS = 0.06
+MAX_QUERY_INTERVAL_SECONDS = 0.8
+# Queries before the interval grows, since a report can be 0.2 s old. Later stages are probed with
+# the first of every this many queries.
+QUERIES_BEFORE_BACKOFF = 5
+# Streams interrupted by the same loss have their last events within this time (two average gaps): a
+# later event of another stream shows that the upstreams of its path are alive.
+SAME_LOSS_SECONDS = 0.05
+# Shortest interval between two probes of one upstream, however many streams are stalled.
+PROBE_INTERVAL_SECONDS = 0.4
+# How long a suspected upstream gets no new requests: by then its row is gone or it has restarted.
+SUSPICION_TTL_SECONDS = 4.0
+# Consecutive unanswered queries after which the first upstream itself counts as lost.
+MAX_UNANSWERED_QUERIES = 2
+# Paths offered to the first upstream of a stalled stream before the stream is interrupted.
+MAX_MOVE_ATTEMPTS = 3
+# Shortest interval between log entries about a blocking upstream that answers probes.
+STALL_LOG_INTERVAL_SECONDS = 1.0
+# Shortest interval between two moves of one stream: time for its first event on the new path.
+MOVE_INTERVAL_SECONDS = 0.2
 
 
 @dataclass
-class _Asking:
-    """What is known of the questions to one first upstream."""
+class _QueryState:
+    """The state of the queries to one first upstream."""
 
     next_at: float = 0.0
-    pause: float = SHORTEST_ASK_SECONDS
+    interval: float = MIN_QUERY_INTERVAL_SECONDS
     unanswered: int = 0
-    questions: int = 0
-    under_way: bool = False
+    queries: int = 0
+    is_in_flight: bool = False
 
 
 class StallMonitor:
-    """Watches all streams of this process.
+    """Monitors all streams of this process for stalls.
 
     Args:
-      upstreams: the upstreams that this process knows; suspicions are noted there.
-      control: asks upstreams and moves streams.
-      choices: returns the choice of paths for a service.
-      witness: told the failure domain of each upstream that was found lost.
-      count: counts by name.
-      log: writes decisions.
+      upstreams: the upstreams that this process knows; suspicions are recorded there.
+      control: queries upstreams, probes them and moves streams.
+      choices: returns the path choice of a service.
+      on_lost: called with the failure domain of each upstream that becomes suspected.
+      count: increments the counter of a name.
+      log: writes an entry to the decision log.
     """
 
     def __init__(
@@ -87,110 +90,112 @@
         upstreams: UpstreamTable,
         control: StreamControl,
         choices: Callable[[str], PathChoice],
-        witness: Callable[[str], None],
+        on_lost: Callable[[str], None],
         count: Callable[[str], None],
         log: Callable[..., None],
     ) -> None:
         self._upstreams = upstreams
         self._control = control
         self._choices = choices
-        self._witness = witness
+        self._on_lost = on_lost
         self._count = count
         self._log = log
         self._streams: set[ActiveStream] = set()
-        self._asking: dict[str, _Asking] = defaultdict(_Asking)
-        self._probed_until: dict[str, float] = {}
-        self._blamed_until: dict[str, float] = {}
-        self._doubted: set[str] = set()
+        self._query_states: dict[str, _QueryState] = defaultdict(_QueryState)
+        self._next_probe_at: dict[str, float] = {}
+        self._next_stall_log_at: dict[str, float] = {}
+        self._confirming: set[str] = set()
         self._nursery: trio.Nursery | None = None
 
     def add(self, stream: ActiveStream) -> None:
-        """Watch a stream."""
+        """Start monitoring a stream."""
         self._streams.add(stream)
 
     def discard(self, stream: ActiveStream) -> None:
-        """Stop watching a stream whose upstream has nothing to do with it any more."""
+        """Stop monitoring a stream that its upstream no longer holds."""
         stream.has_ended = True
         self._streams.discard(stream)
 
     def note_ended(self, upstream: Upstream) -> None:
-        """Take the streams away from a start that ended: the newer one knows nothing of them."""
+        """Interrupt or move the streams of an ended incarnation: the next one doesn't hold them."""
         if any(each.path.parts[0].instance == upstream.instance for each in self._streams):
-            self._interrupt_first(upstream.instance, "restarted")
+            self._interrupt_streams_of(upstream.instance, "restarted")
         if self._nursery is not None:
             self._nursery.start_soon(self._move_all)
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Monitor streams until cancelled."""
         due = trio.current_time()
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             while True:
                 now = trio.current_time()
-                if now - due < PAUSED_SECONDS:
-                    self._look(nursery, now)
+                if now - due < PROCESS_PAUSE_SECONDS:
+                    self._check_streams(nursery, now)
                 else:
                     self._log("paused", seconds=round(now - due, 3))
-                due = now + self._until_next_look(now)
+                due = now + self._seconds_until_check(now)
                 await trio.sleep_until(due)
 
-    def _until_next_look(self, now: float) -> float:
-        """Return after how long a stream may stand still at the earliest, seconds."""
+    def _seconds_until_check(self, now: float) -> float:
+        """Return the seconds until the next stream can become stalled, within the bounds."""
         moments = [
             each.stalled_at for each in self._streams if each.is_waiting and not each.is_moving
         ]
-        earliest = min(moments, default=now + LONGEST_LOOK_SECONDS)
-        return max(LOOK_SECONDS, min(LONGEST_LOOK_SECONDS, earliest - now))
-
-    def _look(self, nursery: trio.Nursery, now: float) -> None:
-        standing = {each.path.parts[0].instance for each in self._streams if each.is_stalled(now)}
-        for instance in list(self._asking):
-            if instance not in standing and not self._asking[instance].under_way:
-                del self._asking[instance]
-        for instance in standing:
-            asking = self._asking[instance]
-            if not asking.under_way and now >= asking.next_at:
-                asking.under_way = True
-                nursery.start_soon(self._ask, instance, asking)
-
-    async def _ask(self, instance: str, asking: _Asking) -> None:
+        earliest = min(moments, default=now + MAX_CHECK_INTERVAL_SECONDS)
+        return max(MIN_CHECK_INTERVAL_SECONDS, min(MAX_CHECK_INTERVAL_SECONDS, earliest - now))
+
+    def _check_streams(self, nursery: trio.Nursery, now: float) -> None:
+        stalled_firsts = {
+            each.path.parts[0].instance for each in self._streams if each.is_stalled(now)
+        }
+        for instance in list(self._query_states):
+            if instance not in stalled_firsts and not self._query_states[instance].is_in_flight:
+                del self._query_states[instance]
+        for instance in stalled_firsts:
+            query_state = self._query_states[instance]
+            if not query_state.is_in_flight and now >= query_state.next_at:
+                query_state.is_in_flight = True
+                nursery.start_soon(self._query, instance, query_state)
+
+    async def _query(self, instance: str, query_state: _QueryState) -> None:
         try:
-            # A row that is gone tells nothing of the streams there: some upstreams serve on.
+            # A missing row doesn't mean that its streams are lost: some upstreams keep serving.
             upstream = self._upstreams.last_known(instance)
             if upstream is None:
-                self._interrupt_first(instance, "gone")
+                self._interrupt_streams_of(instance, "gone")
                 return
-            asking.questions += 1
+            query_state.queries += 1
             async with trio.open_nursery() as nursery:
-                if asking.questions % QUICK_QUESTIONS == 1:
-                    nursery.start_soon(self._probe_all_behind, instance)
-                nursery.start_soon(self._ask_first, upstream, asking)
+                if query_state.queries % QUERIES_BEFORE_BACKOFF == 1:
+                    nursery.start_soon(self._probe_later_stages, instance)
+                nursery.start_soon(self._query_first, upstream, query_state)
         finally:
-            asking.under_way = False
-            asking.next_at = trio.current_time() + asking.pause
+            query_state.is_in_flight = False
+            query_state.next_at = trio.current_time() + query_state.interval
 
-    async def _ask_first(self, upstream: Upstream, asking: _Asking) -> None:
+    async def _query_first(self, upstream: Upstream, query_state: _QueryState) -> None:
         report = await self._control.stalled(upstream)
         if report is not None and not report.asked:
             return
         if report is None:
-            asking.unanswered += 1
-            if asking.unanswered >= SILENT_QUESTIONS:
+            query_state.unanswered += 1
+            if query_state.unanswered >= MAX_UNANSWERED_QUERIES:
                 self._suspect(upstream)
-                self._interrupt_first(upstream.instance, "silent")
+                self._interrupt_streams_of(upstream.instance, "silent")
         else:
-            asking.unanswered = 0
+            query_state.unanswered = 0
             self._upstreams.note_pace(upstream.instance, report.pace)
-            await self._act_on(upstream, report.waiting_for, asking)
+            await self._handle_report(upstream, report.waiting_for, query_state)
 
-    async def _probe_all_behind(self, first: str) -> None:
-        """Ask every upstream behind the first one of standing streams whether it is there."""
-        names = self._behind(first)
+    async def _probe_later_stages(self, first: str) -> None:
+        """Probe the upstreams behind a first stage that may block its stalled streams."""
+        instances = self._find_possible_blockers(first)
         lost: list[tuple[Upstream, Pulse]] = []
         async with trio.open_nursery() as nursery:
-            for upstream in self._due_for_pulse(names):
+            for upstream in self._due_for_probe(instances):
                 nursery.start_soon(self._probe, upstream, lost)
-        if not lost or len(lost) > max(1, CUT_OFF_SHARE * len(names)):
+        if not lost or len(lost) > max(1, ISOLATION_SHARE * len(instances)):
             return
         for upstream, pulse in lost:
             self._suspect(upstream)
@@ -199,22 +204,24 @@
             )
         await self._move_all()
 
-    def _behind(self, first: str) -> set[str]:
-        """Return the upstreams behind the first one that may hold its standing streams up.
+    def _find_possible_blockers(self, first: str) -> set[str]:
+        """Return the upstreams behind a first stage that may block its stalled streams.
 
-        Those that another stream has passed since are there: the standing one waits for something
-        else, such as the prompt of another request.
+        Upstreams on the path of a stream with later events are alive: the stalled stream waits for
+        something else, such as the prompt of another request.
         """
         now = trio.current_time()
-        behind: set[str] = set()
+        possible_blockers: set[str] = set()
         for stream in self._streams:
             if stream.path.parts[0].instance == first and stream.is_stalled(now):
-                further = {part.instance for part in stream.path.parts[1:]}
-                behind |= further - self._passed_since(stream.progress_at + PASSED_SECONDS)
-        return behind
-
-    def _passed_since(self, moment: float) -> set[str]:
-        """Return the upstreams of all streams that brought an event since."""
+                later_stages = {part.instance for part in stream.path.parts[1:]}
+                possible_blockers |= later_stages - self._with_events_since(
+                    stream.progress_at + SAME_LOSS_SECONDS
+                )
+        return possible_blockers
+
+    def _with_events_since(self, moment: float) -> set[str]:
+        """Return the upstreams on the paths of all streams with an event after a moment."""
         return {
             part.instance
             for stream in self._streams
@@ -222,152 +229,156 @@
             for part in stream.path.parts
         }
 
-    def _due_for_pulse(self, names: set[str]) -> list[Upstream]:
-        """Return those that may be asked now, and count them as asked."""
+    def _due_for_probe(self, instances: set[str]) -> list[Upstream]:
+        """Return the upstreams that may be probed now, and record them as probed."""
         now = trio.current_time()
-        self._probed_until = {name: at for name, at in self._probed_until.items() if at > now}
+        self._next_probe_at = {
+            instance: at for instance, at in self._next_probe_at.items() if at > now
+        }
         due = []
-        for name in names:
-            upstream = self._upstreams.last_known(name)
-            if upstream is None or self._upstreams.is_suspect(name):
+        for instance in instances:
+            upstream = self._upstreams.last_known(instance)
+            if upstream is None or self._upstreams.is_suspect(instance):
                 continue
-            if name not in self._probed_until:
-                self._probed_until[name] = now + PULSE_PAUSE_SECONDS
+            if instance not in self._next_probe_at:
+                self._next_probe_at[instance] = now + PROBE_INTERVAL_SECONDS
                 due.append(upstream)
         return due
 
     async def _probe(self, upstream: Upstream, lost: list[tuple[Upstream, Pulse]]) -> None:
-        """Ask one upstream whether it is there; add it to `lost` where it isn't."""
-        reading = await self._control.pulse(upstream, PULSE_SECONDS)
-        if reading.pulse is Pulse.SILENT:
-            reading = await self._control.pulse(upstream, SECOND_PULSE_SECONDS)
-        if reading.pulse is Pulse.ALIVE:
-            self._upstreams.note_pace(upstream.instance, reading.pace)
-        elif reading.pulse is not Pulse.UNASKED:
-            lost.append((upstream, reading.pulse))
+        """Probe one upstream; append it to `lost` unless it answers."""
+        result = await self._control.pulse(upstream, PROBE_TIMEOUT_SECONDS)
+        if result.pulse is Pulse.SILENT:
+            result = await self._control.pulse(upstream, SECOND_PROBE_TIMEOUT_SECONDS)
+        if result.pulse is Pulse.ALIVE:
+            self._upstreams.note_pace(upstream.instance, result.pace)
+        elif result.pulse is not Pulse.UNASKED:
+            lost.append((upstream, result.pulse))
 
     def _suspect(self, upstream: Upstream) -> None:
-        self._upstreams.suspect(upstream.instance, SUSPECT_SECONDS)
-        self._witness(upstream.domain)
-        if upstream.instance not in self._doubted and self._nursery is not None:
-            self._doubted.add(upstream.instance)
-            self._nursery.start_soon(self._resolve, upstream)
-
-    async def _resolve(self, upstream: Upstream) -> None:
-        """Ask a suspect until it answers, is gone beyond doubt and forgotten, or left."""
+        self._upstreams.suspect(upstream.instance, SUSPICION_TTL_SECONDS)
+        self._on_lost(upstream.domain)
+        if upstream.instance not in self._confirming and self._nursery is not None:
+            self._confirming.add(upstream.instance)
+            self._nursery.start_soon(self._confirm_suspicion, upstream)
+
+    async def _confirm_suspicion(self, upstream: Upstream) -> None:
+        """Probe a suspected upstream until it answers, is no longer suspected, or time is up."""
         instance = upstream.instance
-        deadline = trio.current_time() + SUSPECT_SECONDS
+        deadline = trio.current_time() + SUSPICION_TTL_SECONDS
         try:
             while trio.current_time() < deadline and self._upstreams.is_suspect(instance):
-                reading = await self._control.pulse(upstream, DOUBT_SECONDS)
-                if reading.pulse is Pulse.ALIVE:
+                result = await self._control.pulse(upstream, CONFIRMING_PROBE_TIMEOUT_SECONDS)
+                if result.pulse is Pulse.ALIVE:
                     self._upstreams.clear(instance)
                     self._log("suspicion-ended", instance=instance, address=upstream.address)
                     return
-                if reading.pulse is not Pulse.UNASKED:
+                if result.pulse is not Pulse.UNASKED:
                     self._upstreams.suspect(instance, 0.0, lost=True)
-                await trio.sleep(RESOLVE_SECONDS)
+                await trio.sleep(CONFIRMING_PROBE_INTERVAL_SECONDS)
         finally:
-            self._doubted.discard(instance)
+            self._confirming.discard(instance)
 
-    def _interrupt_first(self, instance: str, how: str) -> None:
+    def _interrupt_streams_of(self, instance: str, how: str) -> None:
         affected = [
             each
             for each in self._streams
             if each.is_at_upstream and each.path.parts[0].instance == instance
         ]
-        taken = sum(each.interrupt(Interruption.FIRST_SILENT) for each in affected)
+        interrupted = sum(each.interrupt(Interruption.FIRST_SILENT) for each in affected)
         self._count("stall.first-silent")
         self._log(
             "first-upstream-lost",
             instance=instance,
             how=how,
             streams=len(affected),
-            taken=taken,
+            taken=interrupted,
         )
 
-    async def _act_on(
-        self, first: Upstream, waiting_for: Mapping[str, str], asking: _Asking
+    async def _handle_report(
+        self, first: Upstream, waiting_for: Mapping[str, str], query_state: _QueryState
     ) -> None:
-        """Suspect whom the requests wait for, and move the streams away from there.
+        """Probe the upstreams that requests wait for, and move the streams away from them.
 
         Args:
-          first: who reported.
-          waiting_for: for each request that waits, the address of the upstream it waits for.
-          asking: the questions to the first upstream.
+          first: the upstream that reported.
+          waiting_for: for each waiting request, the address of the upstream that it waits for.
+          query_state: the state of the queries to the first upstream.
         """
         if not waiting_for:
-            if asking.questions >= QUICK_QUESTIONS:
-                asking.pause = min(asking.pause * 2, LONGEST_ASK_SECONDS)
+            if query_state.queries >= QUERIES_BEFORE_BACKOFF:
+                query_state.interval = min(query_state.interval * 2, MAX_QUERY_INTERVAL_SECONDS)
             return
-        asking.pause = SHORTEST_ASK_SECONDS
-        culprits: dict[str, Upstream] = {}
+        query_state.interval = MIN_QUERY_INTERVAL_SECONDS
+        blocking_upstreams: dict[str, Upstream] = {}
         for address in set(waiting_for.values()):
-            culprit = self._upstreams.at_address(address, first.service)
-            if culprit is None:
+            blocking = self._upstreams.at_address(address, first.service)
+            if blocking is None:
                 self._log("stall-unknown-upstream", address=address)
-            elif not self._upstreams.is_suspect(culprit.instance):
-                culprits[culprit.instance] = culprit
+            elif not self._upstreams.is_suspect(blocking.instance):
+                blocking_upstreams[blocking.instance] = blocking
         lost: list[tuple[Upstream, Pulse]] = []
         async with trio.open_nursery() as nursery:
-            for culprit in culprits.values():
-                nursery.start_soon(self._probe, culprit, lost)
-        for culprit in culprits.values():
-            self._blame(culprit, any(each is culprit for each, _ in lost), first, waiting_for)
+            for blocking in blocking_upstreams.values():
+                nursery.start_soon(self._probe, blocking, lost)
+        for blocking in blocking_upstreams.values():
+            self._record_blocking(
+                blocking, any(each is blocking for each, _ in lost), first, waiting_for
+            )
         await self._move_all()
 
-    def _blame(
-        self, culprit: Upstream, is_lost: bool, first: Upstream, waiting_for: Mapping[str, str]
+    def _record_blocking(
+        self, blocking: Upstream, is_lost: bool, first: Upstream, waiting_for: Mapping[str, str]
     ) -> None:
-        """Act on one upstream that requests wait for.
+        """Record one blocking upstream and the streams that wait for it.
 
-        One that answers isn't lost: it gives up layers, say. It is left out of paths for a while,
-        and what it holds still counts.
+        An upstream that answers probes isn't lost: it may be unloading layers, for example. Paths
+        avoid it for a while, but its layers still count as held.
         """
         now = trio.current_time()
         if is_lost:
-            self._suspect(culprit)
+            self._suspect(blocking)
         else:
-            self._choices(first.service).note_full(culprit.instance)
-        if is_lost or self._blamed_until.get(culprit.instance, 0.0) <= now:
-            self._blamed_until[culprit.instance] = now + BLAMED_SECONDS
+            self._choices(first.service).note_full(blocking.instance)
+        if is_lost or self._next_stall_log_at.get(blocking.instance, 0.0) <= now:
+            self._next_stall_log_at[blocking.instance] = now + STALL_LOG_INTERVAL_SECONDS
             self._log(
                 "stall",
-                instance=culprit.instance,
-                address=culprit.address,
+                instance=blocking.instance,
+                address=blocking.address,
                 lost=is_lost,
                 told_by=first.instance,
                 requests=len(waiting_for),
             )
         for stream in self._streams:
-            if waiting_for.get(stream.request_id) == culprit.address and stream.is_stalled(now):
-                stream.blocking_instance = culprit.instance
+            if waiting_for.get(stream.request_id) == blocking.address and stream.is_stalled(now):
+                stream.blocking_instance = blocking.instance
 
     async def _move_all(self) -> None:
-        """Move every stream that passes a suspect or an ended start, or waits for somebody."""
+        """Move each stream that is blocked or passes a suspected upstream or ended incarnation."""
         now = trio.current_time()
         async with trio.open_nursery() as nursery:
             for stream in list(self._streams):
-                if not stream.is_moving and now >= stream.next_move_at and self._must_move(stream):
+                if not stream.is_moving and now >= stream.next_move_at and self._needs_move(stream):
                     stream.is_moving = True
                     nursery.start_soon(self._move, stream)
 
-    def _must_move(self, stream: ActiveStream) -> bool:
+    def _needs_move(self, stream: ActiveStream) -> bool:
         if not stream.is_at_upstream:
-            # Its caller holds a write up; the next path would only be read for nothing.
+            # A write to the caller is pending; a new path would produce events that nobody reads.
             return False
-        further = [each.instance for each in stream.path.parts[1:]]
+        later_stages = [each.instance for each in stream.path.parts[1:]]
         upstreams = self._upstreams
-        return stream.blocking_instance in further or any(
-            upstreams.is_suspect(each) or upstreams.has_ended(each) for each in further
+        return stream.blocking_instance in later_stages or any(
+            upstreams.is_suspect(each) or upstreams.has_ended(each) for each in later_stages
         )
 
-    def _better_elsewhere(self, stream: ActiveStream) -> bool:
-        """Return whether a stream should begin anew on a path inside another failure domain.
+    def _is_better_elsewhere(self, stream: ActiveStream) -> bool:
+        """Return whether a stream should restart on a path inside another failure domain.
 
-        All tokens so far would have to cross the pipe between the domains, which takes some 36 ms
-        a stream, one after the other; a whole path reads them anew in 3 ms. A path that may have no
-        room is no place for a stream that still has one.
+        Moving it would send all its tokens across the link between the domains, which takes about
+        36 ms per stream, one stream at a time; a path inside one domain reprocesses them in 3 ms. A
+        stream that still has a place isn't restarted on a path that may be full.
         """
         choice = self._choices(stream.service)
         other = choice.choose(stream.model)
@@ -378,16 +389,16 @@
             await self._offer_paths(stream)
         finally:
             stream.is_moving = False
-            stream.next_move_at = trio.current_time() + MOVE_PAUSE_SECONDS
+            stream.next_move_at = trio.current_time() + MOVE_INTERVAL_SECONDS
 
     async def _offer_paths(self, stream: ActiveStream) -> None:
-        """Offer other paths to a stream's first upstream until it takes one.
+        """Offer other paths to a stream's first upstream until it accepts one.
 
-        Where none is taken, or a whole path elsewhere is better, the stream is taken from there if
-        it may go on elsewhere.
+        If it accepts none, or a path inside another failure domain is better, the stream is
+        interrupted, provided that it may be retried.
         """
         avoid = {stream.blocking_instance} if stream.blocking_instance else set()
-        for _ in range(MOST_MOVES):
+        for _ in range(MAX_MOVE_ATTEMPTS):
             if not stream.is_at_upstream:
                 return
             path = self._choices(stream.service).onward(
@@ -396,20 +407,20 @@
             first = self._upstreams.last_known(stream.path.parts[0].instance)
             if path is None or first is None:
                 break
-            elsewhere = path.crossings and self._better_elsewhere(stream)
+            elsewhere = path.crossings and self._is_better_elsewhere(stream)
             if elsewhere and stream.interrupt(Interruption.BETTER_ELSEWHERE):
                 return
             result, at_fault = await self._control.move(first, stream.request_id, path)
-            self._note_move(stream, path, result, at_fault)
+            self._record_move(stream, path, result, at_fault)
             if result is MoveResult.MOVED:
                 return
-            culprit = self._upstreams.at_address(at_fault, stream.service)
-            if result is not MoveResult.PART_MISSING or culprit is None:
+            refusing = self._upstreams.at_address(at_fault, stream.service)
+            if result is not MoveResult.PART_MISSING or refusing is None:
                 break
-            avoid.add(culprit.instance)
+            avoid.add(refusing.instance)
         stream.interrupt(Interruption.NO_OTHER_PATH)
 
-    def _note_move(
+    def _record_move(
         self, stream: ActiveStream, path: LayerPath, result: MoveResult, at_fault: str
     ) -> None:
         self._count(f"move.{result}")
--- a/features/mutants_gateway.py
+++ b/features/mutants_gateway.py
@@ -88,11 +88,11 @@
     async def nothing(self, first):
         return None
 
-    StallMonitor._probe_all_behind = nothing
+    StallMonitor._probe_later_stages = nothing
 
 
 def everybody_behind_is_asked():
-    StallMonitor._passed_since = lambda self, moment: set()
+    StallMonitor._with_events_since = lambda self, moment: set()
 
 
 def repeats_everything():
@@ -270,7 +270,7 @@
     async def nothing(self, upstream):
         return None
 
-    StallMonitor._resolve = nothing
+    StallMonitor._confirm_suspicion = nothing
 
 
 def broken_streams_do_not_wait():
