--- a/deckcourse/gateway/admitted.py
+++ b/deckcourse/gateway/admitted.py
@@ -1,4 +1,4 @@
-"""A request that may be served."""
+"""An admitted request with its route, service and client account."""
 
 from dataclasses import dataclass
 from functools import cached_property
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class Admitted:
-    """A request that may be served; `deadline` is on trio's clock."""
+    """A request that passed routing and authorization; `deadline` is on trio's clock."""
 
     caller: CallerRequest
     route: RouteSpec
@@ -24,7 +24,7 @@
 
     @cached_property
     def identity(self) -> str:
-        """What ties it to the same request under another id; worked out when first asked for."""
+        """The identity that equal requests share whatever their ids; computed on first use."""
         return identity_of(self.caller, self.account_name)
 
     @property
@@ -34,7 +34,7 @@
 
     @property
     def priority(self) -> int:
-        """The client account's priority, else the route's; 0 goes first."""
+        """The client account's priority, or the route's if it has none; 0 is the highest."""
         if self.account is not None and self.account.priority is not None:
             return self.account.priority
         return self.route.priority
--- a/deckcourse/gateway/calls.py
+++ b/deckcourse/gateway/calls.py
@@ -1,4 +1,4 @@
-"""What plain calls and streams have in common: their time, and how a request is sent."""
+"""Functions shared by plain calls and streams: deadlines, refusals and sending a request."""
 
 import re
 from collections.abc import Awaitable, Callable
@@ -26,27 +26,27 @@
     "refuse_joined",
     "refuse_quarantined",
     "send_request",
-    "time_to_return",
+    "schedule_retry_after",
     "within_deadline",
 ]
 
-# The beginning of an answer, wherever it stands.
+# The start of a status line, at any position.
 _STATUS = re.compile(rb"HTTP/1\.[01] \d{3}")
 _FRAMING = frozenset({b"content-length", b"transfer-encoding"})
-# Callers wait until a time to come back only where it is no longer than this part of the time that
-# they have left; the platform says a third.
-HONOURED_SHARE = 0.3
+# Largest retry-after value as a share of the request's remaining time. By the platform's
+# definition, callers honour values up to a third of it.
+MAX_RETRY_AFTER_SHARE = 0.3
 
 
 @dataclass(frozen=True)
 class Withheld:
-    """The request was not sent: the upstream paused, throttled or began to leave meanwhile."""
+    """The request was not sent: its upstream began to back off, throttle or leave meanwhile."""
 
 
 def is_withheld(context: GatewayContext, token: SendingToken) -> bool:
     """Return whether a request may no longer be sent to the upstream that was chosen for it.
 
-    Opening a connection takes time, in which the upstream may pause, throttle or begin to leave.
+    The upstream may begin to back off, throttle or leave while the connection is being opened.
     """
     if context.upstreams.accepts(token.instance) and context.rates.may_send(token):
         return False
@@ -57,77 +57,84 @@
 def refuse_quarantined(
     context: GatewayContext, admitted: Admitted, has_run: bool
 ) -> Outcome | None:
-    """Return the refusal of a request that ends the upstreams that run it, None for any other.
+    """Return the refusal of a quarantined request, None for any other.
 
-    Its next try would end the next upstream, with the streams of everybody else on it.
+    A quarantined request crashes the upstreams that execute it: another attempt would crash one
+    more, with all other streams on it.
 
     Args:
-      context: who knows of such requests.
+      context: holds the quarantine.
       admitted: the request.
-      has_run: whether an upstream may have run it in this attempt.
+      has_run: whether an upstream may have executed it while this call was handled.
     """
     until = context.crashes.refused_until(admitted)
     if until is None:
         return None
-    message = "upstreams ended under this request"
+    message = "upstreams crashed while executing this request"
     if has_run:
         return Unknown(UnknownReason.ENDS_UPSTREAMS, message)
     return NotRun(NotRunReason.ENDS_UPSTREAMS, message, until - trio.current_time())
 
 
 async def within_deadline(
-    admitted: Admitted, tries: Callable[[], Awaitable[Outcome]], may_have_run: Callable[[], bool]
+    admitted: Admitted, attempts: Callable[[], Awaitable[Outcome]], may_have_run: Callable[[], bool]
 ) -> Outcome:
-    """Return the outcome of all tries, or that the time was over before.
+    """Return the outcome of all attempts, or that the deadline passed first.
 
     Args:
       admitted: the request.
-      tries: looks for an upstream until there is an outcome; cancelled at the deadline.
-      may_have_run: tells whether an upstream may have run the request so far.
+      attempts: makes attempts until there is an outcome; cancelled at the deadline.
+      may_have_run: returns whether an upstream may have executed the request so far.
     """
     outcome: Outcome | None = None
     with trio.move_on_at(admitted.deadline):
-        outcome = await tries()
+        outcome = await attempts()
     if outcome is not None:
         return outcome
     if may_have_run():
-        return Unknown(UnknownReason.DEADLINE_PASSED, "the time for the answer is over")
-    return NotRun(NotRunReason.DEADLINE, "the time was over before an upstream took it")
+        return Unknown(
+            UnknownReason.DEADLINE_PASSED, "the deadline passed before the response was complete"
+        )
+    return NotRun(
+        NotRunReason.DEADLINE, "the deadline passed before an upstream accepted the request"
+    )
 
 
-def time_to_return(context: GatewayContext, admitted: Admitted, least: float) -> float:
-    """Return when a refused caller may come back, when its turn among the refused comes, seconds.
+def schedule_retry_after(context: GatewayContext, admitted: Admitted, min_seconds: float) -> float:
+    """Return the seconds after which a refused caller may retry, by the schedule of its service.
 
     Args:
-      context: who has the schedule.
-      admitted: the request.
-      least: no earlier than this, seconds.
+      context: holds the schedule.
+      admitted: the refused request.
+      min_seconds: the smallest value to return.
     """
-    left = admitted.deadline - trio.current_time()
-    return context.returns(admitted.service.name).take(least, max(least, left * HONOURED_SHARE))
+    remaining = admitted.deadline - trio.current_time()
+    return context.return_schedule(admitted.service.name).take_slot(
+        min_seconds, max(min_seconds, remaining * MAX_RETRY_AFTER_SHARE)
+    )
 
 
 async def send_request(
     context: GatewayContext, admitted: Admitted, connection: UpstreamConnection, dispatch: Dispatch
 ) -> tuple[UpstreamReply, ReplyFacts]:
-    """Send a request to an upstream; return the head of its answer and what that says.
+    """Send a request to an upstream; return the head of the response and the facts in its headers.
 
     Args:
-      context: whose dialect is spoken.
+      context: provides the dialect that encodes and decodes headers.
       admitted: the request.
-      connection: one that had no call with the request's id: an upstream may send a refusal a
-        second time, which would else be taken for the answer while it runs the request.
-      dispatch: where it goes, and what the upstream is told of it.
+      connection: a connection without an earlier call with this request id: an upstream may
+        repeat a refusal, which would be taken for the response while it executes the request.
+      dispatch: the upstream, and the values that the request's headers carry.
 
     Raises:
-      ConnectionLostError: the call failed, or its answer belongs to another request.
+      ConnectionLostError: the call failed, or the response belongs to another request.
     """
     caller = admitted.caller
     message = caller.message
     headers = context.dialect.headers_for(caller, dispatch)
     connection.note_call(caller.request_id)
     if caller.request_id == NAMELESS:
-        # A second answer without an id could be taken for the one to a question of the gateway's.
+        # A repeated response without an id could be taken for the response to a control message.
         connection.retire()
     sent_at = trio.current_time()
     reply = await connection.call(message.method, message.target, headers, message.body)
@@ -139,26 +146,27 @@
         reply = await connection.next_reply()
         facts = context.dialect.facts(reply)
     if facts.request_id != caller.request_id:
-        raise ConnectionLostError(FailureKind.MALFORMED, "the answer is another request's")
+        raise ConnectionLostError(FailureKind.MALFORMED, "the response belongs to another request")
     context.notices.apply(dispatch.instance, facts.notice, sent_at)
     return reply, facts
 
 
 def refuse_joined(reply: UpstreamReply, body: bytes) -> None:
-    """Check that no other answer stands in a body.
+    """Check that a body doesn't contain the start of another response.
 
-    It may where only the connection's end bounds the body, and where bytes are left behind its
-    length: the other answer's beginning took their place.
+    That can happen if only the end of the connection delimits the body, or if bytes follow the body
+    on the connection: the start of the other response then filled up the declared length.
 
     Raises:
-      ConnectionLostError: one does; where the first one ended nobody knows.
+      ConnectionLostError: it does, so that the end of the first response is unknown.
     """
     framed = any(name in _FRAMING for name, _ in reply.headers)
     if (not framed or reply.followed) and _holds_status_line(body):
-        raise ConnectionLostError(FailureKind.MALFORMED, "another answer stands in the body")
+        raise ConnectionLostError(FailureKind.MALFORMED, "the body contains another response")
 
 
 def _holds_status_line(body: bytes) -> bool:
-    # Line by line: a pattern with a line's end begins anew at each status, 1.7 s for 60 KB of them.
+    # Line by line: a pattern that includes the line end rescans from each status line, which took
+    # 1.7 s for 60 KB of them.
     lines = body.splitlines(keepends=True)
     return any(each.endswith(b"\r\n") and _STATUS.search(each) for each in lines)
--- a/deckcourse/gateway/context.py
+++ b/deckcourse/gateway/context.py
@@ -1,4 +1,4 @@
-"""What every request of a gateway works with."""
+"""The objects that all requests of a gateway share."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class GatewayContext:
-    """The parts that requests share."""
+    """The objects and callbacks that all requests of a gateway share."""
 
     upstreams: UpstreamTable
     notices: NoticeIntake
@@ -40,13 +40,13 @@
     schedules: dict[str, ReturnSchedule] = field(default_factory=dict)
 
     def budget(self, service: str) -> RetryAllowance:
-        """Return what this process may retry at a service."""
+        """Return this process's retry budget at a service."""
         if service not in self.allowances:
             self.allowances[service] = self.new_allowance()
         return self.allowances[service]
 
-    def returns(self, service: str) -> ReturnSchedule:
-        """Return when callers that a service's requests were refused may come back."""
+    def return_schedule(self, service: str) -> ReturnSchedule:
+        """Return the schedule by which refused callers of a service may return."""
         if service not in self.schedules:
             self.schedules[service] = ReturnSchedule(current_time)
         return self.schedules[service]
--- a/deckcourse/gateway/failure_share.py
+++ b/deckcourse/gateway/failure_share.py
@@ -1,24 +1,23 @@
-"""How often calls to one upstream failed of late."""
+"""The share of recent calls to one upstream that failed."""
 
 __all__ = ["FailureShare"]
 
-# The share of the last calls to an upstream that failed is halved by each success and each of
-# these, seconds.
+# Half-life of the share; each successful call halves it as well.
 FAILURE_HALF_LIFE_SECONDS = 4.0
 
 
 class FailureShare:
-    """How often calls to one upstream failed of late, between 0 and 1."""
+    """The share of recent calls to one upstream that failed, between 0 and 1."""
 
     def __init__(self) -> None:
         self._share = 0.0
-        self._at = 0.0
+        self._updated_at = 0.0
 
     def note(self, failed: bool, now: float) -> None:
-        """Note how a call ended, at a moment."""
+        """Record the result of a call that ended at `now`."""
         self._share = self.share(now) * 0.5 + (0.5 if failed else 0.0)
-        self._at = now
+        self._updated_at = now
 
     def share(self, now: float) -> float:
-        """Return the share at a moment."""
-        return self._share * 0.5 ** ((now - self._at) / FAILURE_HALF_LIFE_SECONDS)
+        """Return the share at `now`."""
+        return self._share * 0.5 ** ((now - self._updated_at) / FAILURE_HALF_LIFE_SECONDS)
--- a/deckcourse/gateway/lookup.py
+++ b/deckcourse/gateway/lookup.py
@@ -1,4 +1,4 @@
-"""One call to a plain service: tried again only where the route and the upstream allow it."""
+"""One call to a plain service, retried only if the route and the upstream's response allow it."""
 
 from dataclasses import dataclass
 
@@ -10,8 +10,8 @@
     is_withheld,
     refuse_joined,
     refuse_quarantined,
+    schedule_retry_after,
     send_request,
-    time_to_return,
     within_deadline,
 )
 from deckcourse.gateway.context import GatewayContext
@@ -26,31 +26,31 @@
 
 __all__ = ["Lookup"]
 
-# Refusals and failed connections that one request may meet before it is refused itself.
-MOST_TRIES = 4
-# When to come back after every upstream refused, seconds: their calls take some 60 ms.
-RETRY_SECONDS = 0.1
-# When to come back to a process whose configuration may be out of date, seconds.
-NOT_READY_RETRY_SECONDS = 0.2
-# When to come back while no upstream is listed as usable, seconds.
-NO_ROUTE_RETRY_SECONDS = 0.5
-# Calls in flight are weighed against an upstream with so many places: what both sites state.
+# Attempts after which a request is refused.
+MAX_ATTEMPTS = 4
+# Retry-after value when every upstream refused; a call takes about 60 ms.
+REFUSED_RETRY_AFTER_SECONDS = 0.1
+# Retry-after value of a process whose configuration may be out of date.
+NOT_READY_RETRY_AFTER_SECONDS = 0.2
+# Retry-after value while no upstream is listed as usable.
+NO_ROUTE_RETRY_AFTER_SECONDS = 0.5
+# Calls in flight are scaled to an upstream with this many slots, the number that both sites state.
 REFERENCE_SLOTS = 6.0
-# What another failure domain counts for against calls in flight.
+# Calls in flight that an upstream in another failure domain counts as having in addition.
 REMOTE_PENALTY = 0.5
-# What an upstream whose calls all failed of late counts for against calls in flight.
+# Calls in flight that an upstream counts as having in addition if all its recent calls failed.
 FAILURE_PENALTY = 20.0
-# A call that must not run twice takes no connection that rested longer, seconds: one that the
-# upstream closed meanwhile would leave it open whether the call ran.
-FRESH_SECONDS = 1.0
-# Any other call takes every idle connection: none is kept for this long, seconds.
-ANY_AGE_SECONDS = 60.0
+# Longest idle time of a connection for a call that must not be executed twice: if the upstream had
+# closed the connection, it would be unknown whether the call was executed.
+MAX_IDLE_ONCE_SECONDS = 1.0
+# Other calls use any idle connection: none is kept for this long.
+MAX_IDLE_SECONDS = 60.0
 SERVER_ERROR = 500
 
 
 @dataclass(frozen=True)
-class _Whole:
-    """A whole answer of an upstream."""
+class _Response:
+    """A complete response of an upstream."""
 
     status: int
     headers: Headers
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True)
 class _Refused:
-    """Nobody ran the call."""
+    """No upstream executed the call."""
 
     reason: RetryReason
     message: str
@@ -67,104 +67,108 @@
 
 @dataclass(frozen=True)
 class _Lost:
-    """The call may have run."""
+    """The response was lost; the call may have been executed."""
 
     message: str
 
 
 class Lookup:
-    """One call from admission to its outcome."""
+    """Serves one call to a plain service from admission to its outcome."""
 
     def __init__(self, context: GatewayContext, admitted: Admitted, domain: str) -> None:
         self._context = context
         self._admitted = admitted
         self._domain = domain
-        self._tried: set[str] = set()
-        self._runs = 0
-        self._failure: _Whole | None = None
+        self._attempted: set[str] = set()
+        self._executions = 0
+        self._failed_response: _Response | None = None
 
     async def run(self) -> Outcome:
-        """Return the outcome; an answer has been sent to the caller."""
+        """Serve the call; after an Answered outcome the response has been sent to the caller."""
         self._context.budget(self._admitted.service.name).earn()
-        return await within_deadline(self._admitted, self._tries, lambda: self._runs > 0)
+        return await within_deadline(
+            self._admitted, self._run_attempts, lambda: self._executions > 0
+        )
 
-    async def _tries(self) -> Outcome:
-        last: _Refused | _Lost | None = None
+    async def _run_attempts(self) -> Outcome:
+        last_failure: _Refused | _Lost | None = None
         budget = self._context.budget(self._admitted.service.name)
-        number = 0
-        while number < MOST_TRIES:
-            refusal = refuse_quarantined(self._context, self._admitted, self._runs > 0)
+        attempts = 0
+        while attempts < MAX_ATTEMPTS:
+            refusal = refuse_quarantined(self._context, self._admitted, self._executions > 0)
             if refusal is not None:
                 return refusal
             upstream = self._choose()
             if upstream is None:
                 break
-            if number and not budget.spend():
+            if attempts and not budget.spend():
                 break
             if not self._context.may_send():
                 message = "the configuration may be out of date"
-                return NotRun(NotRunReason.NOT_READY, message, NOT_READY_RETRY_SECONDS)
+                return NotRun(NotRunReason.NOT_READY, message, NOT_READY_RETRY_AFTER_SECONDS)
             if await self._context.crashes.wait_for_turn(self._admitted, upstream.instance):
-                if number:
+                if attempts:
                     budget.give_back()
                 continue
             result = await self._send_with_token(upstream)
             if isinstance(result, Withheld):
-                if number:
+                if attempts:
                     budget.give_back()
                 continue
-            number += 1
-            if isinstance(result, _Whole):
-                if not self._worth_another(result):
+            attempts += 1
+            if isinstance(result, _Response):
+                if not self._is_worth_retry(result):
                     return await self._deliver(result)
-                self._failure = result
+                self._failed_response = result
             elif isinstance(result, _Refused):
-                last = result
+                last_failure = result
                 self._context.count(f"retry.{result.reason}")
             else:
-                last = result
-                if not self._may_repeat():
+                last_failure = result
+                if not self._may_execute_again():
                     break
                 self._context.count(f"retry.{RetryReason.REPLY_LOST}")
                 crashes = self._context.crashes
                 await crashes.wait_behind_others(self._admitted, upstream.instance)
-        return await self._give_up(last)
+        return await self._give_up(last_failure)
 
-    def _may_repeat(self) -> bool:
+    def _may_execute_again(self) -> bool:
         route = self._admitted.route
-        return route.repeatable and self._runs < route.attempts
+        return route.repeatable and self._executions < route.attempts
 
-    def _worth_another(self, answer: _Whole) -> bool:
-        return answer.status >= SERVER_ERROR and self._may_repeat()
+    def _is_worth_retry(self, response: _Response) -> bool:
+        return response.status >= SERVER_ERROR and self._may_execute_again()
 
-    async def _give_up(self, last: _Refused | _Lost | None) -> Outcome:
-        if self._failure is not None:
-            return await self._deliver(self._failure)
-        if self._runs:
-            message = last.message if last is not None else "the answer was lost"
+    async def _give_up(self, last_failure: _Refused | _Lost | None) -> Outcome:
+        if self._failed_response is not None:
+            return await self._deliver(self._failed_response)
+        if self._executions:
+            message = last_failure.message if last_failure is not None else "the response was lost"
             return Unknown(UnknownReason.UPSTREAM_LOST, message)
         opens_at = self._context.upstreams.accepts_at(self._admitted.service.name)
         if opens_at is not None:
-            least = max(RETRY_SECONDS, opens_at - trio.current_time())
-            later = time_to_return(self._context, self._admitted, least)
-            message = f"no upstream takes a request for {least:.2f} s"
-            return NotRun(NotRunReason.UPSTREAM_BACKOFF, message, later)
-        if isinstance(last, _Refused):
-            return NotRun(NotRunReason.UPSTREAM_REFUSED, last.message, RETRY_SECONDS)
-        return NotRun(NotRunReason.NO_ROUTE, "no usable upstream", NO_ROUTE_RETRY_SECONDS)
+            min_seconds = max(REFUSED_RETRY_AFTER_SECONDS, opens_at - trio.current_time())
+            retry_after = schedule_retry_after(self._context, self._admitted, min_seconds)
+            message = f"no upstream accepts requests for {min_seconds:.2f} s"
+            return NotRun(NotRunReason.UPSTREAM_BACKOFF, message, retry_after)
+        if isinstance(last_failure, _Refused):
+            return NotRun(
+                NotRunReason.UPSTREAM_REFUSED, last_failure.message, REFUSED_RETRY_AFTER_SECONDS
+            )
+        return NotRun(NotRunReason.NO_ROUTE, "no usable upstream", NO_ROUTE_RETRY_AFTER_SECONDS)
 
     def _choose(self) -> Upstream | None:
         upstreams = self._context.upstreams
         name = self._admitted.service.name
-        options = self._accepting(upstreams.usable(name))
-        options = options or self._accepting(upstreams.of_service(name))
-        options = [each for each in options if each.instance not in self._tried]
+        candidates = self._accepting(upstreams.usable(name))
+        candidates = candidates or self._accepting(upstreams.of_service(name))
+        candidates = [each for each in candidates if each.instance not in self._attempted]
         trials = self._context.crashes.trial_upstreams()
-        options = [each for each in options if each.instance not in trials] or options
-        return min(options, key=self._load, default=None)
+        candidates = [each for each in candidates if each.instance not in trials] or candidates
+        return min(candidates, key=self._load, default=None)
 
     def _accepting(self, rows: list[Upstream]) -> list[Upstream]:
-        # Even if none remains: a refusal would use up the caller's only attempt.
+        # Even if no row remains: an upstream's refusal would use up the caller's only attempt.
         return [each for each in rows if self._context.upstreams.may_begin(each.instance)]
 
     def _load(self, upstream: Upstream) -> float:
@@ -174,12 +178,12 @@
             load += REMOTE_PENALTY
         return load + FAILURE_PENALTY * upstreams.failure_share(upstream.instance) ** 2
 
-    async def _send_with_token(self, upstream: Upstream) -> _Whole | _Refused | _Lost | Withheld:
-        """Send the call with a token for the upstream; returns the token if unspent."""
+    async def _send_with_token(self, upstream: Upstream) -> _Response | _Refused | _Lost | Withheld:
+        """Send the call with a token for the upstream; gives an unused token back."""
         token = await self._context.rates.acquire(upstream.instance)
         if token is None:
             return Withheld()
-        self._tried.add(upstream.instance)
+        self._attempted.add(upstream.instance)
         try:
             return await self._send(upstream, token)
         finally:
@@ -187,14 +191,18 @@
 
     async def _send(
         self, upstream: Upstream, token: SendingToken
-    ) -> _Whole | _Refused | _Lost | Withheld:
+    ) -> _Response | _Refused | _Lost | Withheld:
         context = self._context
         context.upstreams.begin(upstream.instance)
         run = context.crashes.begin_run(self._admitted, upstream.instance)
-        longest_idle = ANY_AGE_SECONDS if self._admitted.route.repeatable else FRESH_SECONDS
+        max_idle_seconds = (
+            MAX_IDLE_SECONDS if self._admitted.route.repeatable else MAX_IDLE_ONCE_SECONDS
+        )
         request_id = self._admitted.caller.request_id
         try:
-            async with context.pool.lent(upstream.address, longest_idle, request_id) as connection:
+            async with context.pool.lent(
+                upstream.address, max_idle_seconds, request_id
+            ) as connection:
                 result = await self._exchange(connection, upstream, token)
         except ConnectionLostError as failure:
             result = await self._on_failure(upstream, failure, run)
@@ -203,10 +211,10 @@
             context.upstreams.end(upstream.instance)
         if isinstance(result, Withheld):
             return result
-        failed = not isinstance(result, _Whole) or result.status >= SERVER_ERROR
+        failed = not isinstance(result, _Response) or result.status >= SERVER_ERROR
         context.upstreams.note(upstream.instance, failed)
         if failed:
-            self._log_try(upstream, result)
+            self._log_failed_attempt(upstream, result)
         return result
 
     async def _on_failure(
@@ -220,7 +228,7 @@
 
     async def _exchange(
         self, connection: UpstreamConnection, upstream: Upstream, token: SendingToken
-    ) -> _Whole | _Refused | _Lost | Withheld:
+    ) -> _Response | _Refused | _Lost | Withheld:
         if is_withheld(self._context, token):
             return Withheld()
         admitted = self._admitted
@@ -230,33 +238,33 @@
             admitted.account_name,
             admitted.priority,
         )
-        self._runs += 1
+        self._executions += 1
         try:
             reply, facts = await send_request(self._context, admitted, connection, dispatch)
         except ConnectionLostError as failure:
-            self._runs -= failure.kind is FailureKind.UNSENT
+            self._executions -= failure.kind is FailureKind.UNSENT
             raise
         body = await reply.whole_body()
         if facts.not_run:
-            self._runs -= 1
+            self._executions -= 1
             return _Refused(RetryReason.REFUSED, f"upstream answered {reply.status}")
         refuse_joined(reply, body)
         if reply.status < SERVER_ERROR:
             self._context.crashes.note_ran(self._admitted, upstream.instance)
-        return _Whole(reply.status, end_to_end(reply.headers), body)
+        return _Response(reply.status, end_to_end(reply.headers), body)
 
-    async def _deliver(self, answer: _Whole) -> Outcome:
-        await self._admitted.exchange.whole(answer.status, answer.headers, answer.body)
-        self._context.returns(self._admitted.service.name).note_answered()
-        return Answered(0, answer.status)
+    async def _deliver(self, response: _Response) -> Outcome:
+        await self._admitted.exchange.whole(response.status, response.headers, response.body)
+        self._context.return_schedule(self._admitted.service.name).note_answered()
+        return Answered(0, response.status)
 
-    def _log_try(self, upstream: Upstream, result: _Whole | _Refused | _Lost) -> None:
-        what = f"status {result.status}" if isinstance(result, _Whole) else result.message
+    def _log_failed_attempt(self, upstream: Upstream, result: _Response | _Refused | _Lost) -> None:
+        description = f"status {result.status}" if isinstance(result, _Response) else result.message
         self._context.log(
             "try-failed",
             request=self._admitted.caller.request_id,
             instance=upstream.instance,
-            what=what,
-            runs=self._runs,
+            what=description,
+            runs=self._executions,
             identity=self._admitted.identity if isinstance(result, _Lost) else "",
         )
--- a/deckcourse/gateway/request_identity.py
+++ b/deckcourse/gateway/request_identity.py
@@ -1,4 +1,4 @@
-"""What makes two requests the same one, under whatever id they come."""
+"""The identity of a request: equal for repeated requests, whatever their ids."""
 
 from hashlib import blake2b
 
@@ -6,16 +6,16 @@
 
 __all__ = ["identity_of"]
 
-# Long enough that nobody finds another request with the identity of a given one.
+# Long enough that finding another request with the same identity is infeasible.
 IDENTITY_BYTES = 16
-# Before each part stands its length, so that no two requests read alike.
+# Each part is prefixed with its length, so that different requests never hash the same bytes.
 LENGTH_BYTES = 8
 
 
 def identity_of(caller: CallerRequest, account: str) -> str:
     """Return the identity of a request, in hex.
 
-    Headers don't count: the id, the deadline and the last event differ with each sending.
+    Headers are excluded: the id, the deadline and the last event differ between attempts.
 
     Args:
       caller: the request.
--- a/deckcourse/gateway/retry_allowance.py
+++ b/deckcourse/gateway/retry_allowance.py
@@ -1,8 +1,8 @@
-"""The retries that one process may make, of those that all processes may make together.
+"""The retry budget of one process, its part of the budget of all processes.
 
-The platform bounds the retries at a service over a span of time: a fraction of the requests, and so
-many beside that. Requests are counted where they come in; of the rest each process has the part
-that it carries of the traffic.
+The platform limits the retries at a service in any time window to a fraction of the requests plus a
+fixed number. Each process earns retries by the requests that it receives; its part of the fixed
+number is its share of the traffic.
 """
 
 from collections.abc import Callable
@@ -10,23 +10,25 @@
 
 __all__ = ["RetryAllowance", "RetryLimits"]
 
-# What is left of either bound for requests that other processes count differently at the same time.
-EARNED_PART = 0.75
-# Of the retries beside the earned ones, the part that may be made at once, and the part that comes
-# back over the span: together they stay below what is allowed in any span.
-AT_ONCE_PART = 0.6
-RETURNING_PART = 0.25
-# So long after its start an allowance grows with the share that becomes known, seconds: it began
-# full by an assumed one. Otherwise a process of a third of the traffic turned callers away beside
-# free upstreams for 1.2 s, since a part of what it might hold is kept for broken streams.
-STARTING_SECONDS = 2.0
+# Share of the platform's ratio that requests earn: a margin, since processes count at slightly
+# different times.
+EARNED_SHARE = 0.75
+# Shares of the fixed number of retries that may be made in a burst, and that are refilled over the
+# window: their sum stays below what is allowed in any window.
+BURST_SHARE = 0.6
+REFILL_SHARE = 0.25
+# How long after its start an allowance grows together with the measured traffic share: it starts
+# full, but for an assumed share. Without this, a process with a third of the traffic refused
+# callers for 1.2 s although upstreams were free, since part of the balance is reserved for
+# interrupted streams.
+WARM_UP_SECONDS = 2.0
 
 
 @dataclass(frozen=True)
 class RetryLimits:
-    """What all processes together may do at one service.
+    """The retry limits of all processes together at one service.
 
-    In any `window` seconds, retries may be `ratio` times the requests and `slack` more.
+    In any `window` seconds, there may be `ratio` times the requests plus `slack` retries.
     """
 
     ratio: float = 0.2
@@ -35,12 +37,12 @@
 
 
 class RetryAllowance:
-    """Counts what requests earn and retries spend at one service.
+    """The balance of retries at one service: requests earn them, retries spend them.
 
     Args:
-      limits: returns what holds for all processes together.
-      share: returns the part of all traffic that this process carries.
-      clock: seconds, steady.
+      limits: returns the limits of all processes together.
+      share: returns this process's share of all traffic.
+      clock: returns monotonic seconds.
     """
 
     def __init__(
@@ -52,48 +54,48 @@
         self._limits = limits
         self._share = share
         self._clock = clock
-        self._counted_at = clock()
-        self._starting_until = clock() + STARTING_SECONDS
-        self._began_with = self.largest
-        self._balance = self._began_with
+        self._refilled_at = clock()
+        self._warm_up_ends_at = clock() + WARM_UP_SECONDS
+        self._max_at_warm_up = self.max_balance
+        self._balance = self._max_at_warm_up
 
     @property
-    def largest(self) -> float:
-        """How many retries may be made at once at the most, one at least."""
-        return max(1.0, AT_ONCE_PART * self._limits().slack * self._share())
+    def max_balance(self) -> float:
+        """The largest number of retries that can be made in a burst, at least 1."""
+        return max(1.0, BURST_SHARE * self._limits().slack * self._share())
 
     @property
     def balance(self) -> float:
-        """How many retries may be made now."""
+        """The number of retries that may be made now."""
         limits = self._limits()
         now = self._clock()
-        if now < self._starting_until and self.largest > self._began_with:
-            self._balance += self.largest - self._began_with
-            self._began_with = self.largest
-        returning = RETURNING_PART * limits.slack * self._share() / limits.window
-        self._add(returning * (now - self._counted_at))
-        self._counted_at = now
+        if now < self._warm_up_ends_at and self.max_balance > self._max_at_warm_up:
+            self._balance += self.max_balance - self._max_at_warm_up
+            self._max_at_warm_up = self.max_balance
+        refill_rate = REFILL_SHARE * limits.slack * self._share() / limits.window
+        self._add(refill_rate * (now - self._refilled_at))
+        self._refilled_at = now
         return self._balance
 
     def _add(self, retries: float) -> None:
-        self._balance = min(self.largest, self._balance + retries)
+        self._balance = min(self.max_balance, self._balance + retries)
 
     def earn(self) -> None:
-        """Count a request's first try."""
-        self._add(EARNED_PART * self._limits().ratio)
+        """Add what a request's first attempt earns."""
+        self._add(EARNED_SHARE * self._limits().ratio)
 
-    def spend(self, keep: float = 0.0) -> bool:
-        """Take one retry; return whether there was one to take.
+    def spend(self, reserve_share: float = 0.0) -> bool:
+        """Spend one retry; return whether the balance allowed it.
 
         Args:
-          keep: the part of the largest balance that must be left afterwards, for those that need
-            it more.
+          reserve_share: the share of the largest balance that must remain afterwards, for requests
+            that need it more.
         """
-        if self.balance < 1.0 + keep * self.largest:
+        if self.balance < 1.0 + reserve_share * self.max_balance:
             return False
         self._balance -= 1.0
         return True
 
     def give_back(self) -> None:
-        """Put a retry back that was taken and not made."""
+        """Return a spent but unused retry."""
         self._add(1.0)
--- a/deckcourse/gateway/return_schedule.py
+++ b/deckcourse/gateway/return_schedule.py
@@ -1,64 +1,65 @@
-"""When callers that were refused may come back: in turn, as fast as they can be served.
+"""Schedules the retries of refused callers, so that they return as fast as they can be served.
 
-A refusal tells its caller a time. If all were told the same, they would come back together, meet
-the next wave of new requests and be refused again, which serves nobody. So each refusal takes the
-next moment of a schedule, and moments follow each other at a part of the rate at which requests
-were answered of late: the rest is for callers that come for the first time.
+Each refusal states a retry-after time. If all stated the same one, the callers would return
+together, compete with the next new requests and be refused again. So each refusal takes the next
+slot of a schedule. Slots follow each other at a share of the recent rate of answered requests; the
+rest is left for new callers.
 """
 
 from collections.abc import Callable
 
 __all__ = ["ReturnSchedule"]
 
-# The part of the requests answered of late that returning ones may be, in addition to new ones.
-RETURNING_PART = 0.3
-# Answered requests count for so long, halved after each such span, seconds.
+# Rate of returning requests as a share of the recent rate of answered requests.
+RETURNING_SHARE = 0.3
+# Half-life of an answered request's weight in the rate.
 RATE_HALF_LIFE_SECONDS = 4.0
-# A process that answered nothing of late lets one come back in this time, seconds.
-LONGEST_STEP_SECONDS = 0.5
-# Nobody is told a longer time: callers don't wait longer than a third of the time that they have,
-# which is 20 s on all sites, and faults of a few seconds are over by then, seconds.
-LONGEST_RETURN_SECONDS = 6.0
-# What the rate counts for at the least, requests a second; the longest step goes before it.
-LEAST_RATE = 0.001
+# Longest interval between two slots, used when no request was answered recently.
+MAX_SLOT_INTERVAL_SECONDS = 0.5
+# Longest retry-after value: callers wait no longer than a third of their timeout, which is 20 s on
+# all sites, and faults of a few seconds have ended by then.
+MAX_RETRY_AFTER_SECONDS = 6.0
+# Lower bound of the rate in requests per second, which avoids a division by zero;
+# MAX_SLOT_INTERVAL_SECONDS limits the interval first.
+MIN_RATE = 0.001
 LN_2 = 0.693
 
 
 class ReturnSchedule:
-    """The moments at which refused callers of one service may come back to this process.
+    """The schedule by which refused callers of one service return to this process.
 
     Args:
-      clock: seconds, steady.
+      clock: returns monotonic seconds.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
         self._rate = 0.0
         self._rated_at = clock()
-        self._next_at = float("-inf")
+        self._next_slot_at = float("-inf")
 
     def note_answered(self) -> None:
         """Count an answered request."""
         self._decay()
         self._rate += LN_2 / RATE_HALF_LIFE_SECONDS
 
-    def take(self, least: float, longest: float = LONGEST_RETURN_SECONDS) -> float:
-        """Return after how many seconds the next caller may come back, and count it.
+    def take_slot(self, min_seconds: float, max_seconds: float = MAX_RETRY_AFTER_SECONDS) -> float:
+        """Return the seconds after which the next caller may return, and occupy that slot.
 
         Args:
-          least: no earlier than this, seconds: before, nothing will be better.
-          longest: no later than this where it is shorter than the longest of all, seconds.
+          min_seconds: the earliest useful return, in seconds from now.
+          max_seconds: the latest return; MAX_RETRY_AFTER_SECONDS limits it further.
         """
         self._decay()
         now = self._clock()
-        moment = max(self._next_at, now + least)
-        if moment > now + min(longest, LONGEST_RETURN_SECONDS):
-            # Every moment is taken once: a second caller comes at each.
-            moment = now + least
-        self._next_at = moment + min(
-            LONGEST_STEP_SECONDS, 1.0 / max(RETURNING_PART * self._rate, LEAST_RATE)
+        slot_at = max(self._next_slot_at, now + min_seconds)
+        if slot_at > now + min(max_seconds, MAX_RETRY_AFTER_SECONDS):
+            # All slots are taken: start again at the first one, which then gets a second caller.
+            slot_at = now + min_seconds
+        self._next_slot_at = slot_at + min(
+            MAX_SLOT_INTERVAL_SECONDS, 1.0 / max(RETURNING_SHARE * self._rate, MIN_RATE)
         )
-        return moment - now
+        return slot_at - now
 
     def _decay(self) -> None:
         now = self._clock()
--- a/deckcourse/gateway/stream.py
+++ b/deckcourse/gateway/stream.py
@@ -19,8 +19,8 @@
     is_withheld,
     refuse_joined,
     refuse_quarantined,
+    schedule_retry_after,
     send_request,
-    time_to_return,
     within_deadline,
 )
 from deckcourse.gateway.context import GatewayContext
@@ -142,21 +142,21 @@
                 return self._give_up(last_failure, NotRunReason.NOT_READY, FULL_RETRY_AFTER_SECONDS)
             if await self._context.crashes.wait_for_turn(self._admitted, path.parts[0].instance):
                 if attempts:
-                    self._retries.keep()
+                    self._retries.reserve_unused()
                 continue
             result = await self._attempt_with_token(path)
             if isinstance(result, Withheld):
                 if attempts:
-                    self._retries.keep()
+                    self._retries.reserve_unused()
                 await trio.lowlevel.checkpoint()
                 continue
             attempts += 1
             if isinstance(result, _Finished):
-                self._context.returns(self._admitted.service.name).note_answered()
+                self._context.return_schedule(self._admitted.service.name).note_answered()
                 return Answered(0, result.status)
             last_failure = result
             self._log_attempt(path, result)
-            if isinstance(result, _Broken) and not self._retries.may_go_on():
+            if isinstance(result, _Broken) and not self._retries.may_run_elsewhere():
                 break
             if not self._executions and attempts == MAX_ATTEMPTS:
                 break
@@ -178,7 +178,7 @@
             return self._give_up(
                 last_failure, NotRunReason.UPSTREAM_REFUSED, FULL_RETRY_AFTER_SECONDS
             )
-        if attempts and not self._retries.take(has_run=False):
+        if attempts and not self._retries.spend(was_executed=False):
             return self._give_up(last_failure, NotRunReason.RETRY_BUDGET, FULL_RETRY_AFTER_SECONDS)
         return None
 
@@ -206,7 +206,7 @@
 
     def _retry_after(self, seconds: float) -> float:
         """Return a retry-after value of at least `seconds` from the schedule of refused callers."""
-        return time_to_return(self._context, self._admitted, seconds)
+        return schedule_retry_after(self._context, self._admitted, seconds)
 
     async def _find_path(self) -> LayerPath | None:
         """Return a path, None if there is none; waits for one if the response has started."""
@@ -251,7 +251,7 @@
             path,
             trio.current_time(),
             self._admitted.route.gap_objective,
-            reserve_retry=self._retries.take_ahead,
+            reserve_retry=self._retries.reserve,
         )
         context.upstreams.begin(first.instance)
         context.monitor.add(stream)
@@ -349,7 +349,9 @@
         return await self._on_other_response(reply, body)
 
     async def _on_other_response(self, reply: UpstreamReply, body: bytes) -> _AttemptResult:
-        if self._has_started or (reply.status >= SERVER_ERROR and self._retries.may_go_on()):
+        if self._has_started or (
+            reply.status >= SERVER_ERROR and self._retries.may_run_elsewhere()
+        ):
             return _Broken(f"upstream answered {reply.status}")
         await self._admitted.exchange.whole(reply.status, end_to_end(reply.headers), body)
         return _Finished(reply.status)
--- a/deckcourse/gateway/stream_retries.py
+++ b/deckcourse/gateway/stream_retries.py
@@ -1,4 +1,4 @@
-"""The retries of one stream: whether another upstream may run it, and who pays for it."""
+"""The retries of one stream: whether another upstream may execute it, and the budget for that."""
 
 import trio
 
@@ -8,93 +8,95 @@
 
 __all__ = ["StreamRetries"]
 
-# A stream that ran and has no place looks for one for so long after its last event, seconds: room
-# comes free with each stream that ends. Later its caller, who can resume it, is told by the cut.
-LONGEST_SEARCH_SECONDS = 1.0
-# Between two tries of such a stream, seconds; doubled with each refusal, up to the longest.
-REFUSED_PAUSE_SECONDS = 0.05
-LONGEST_REFUSED_PAUSE_SECONDS = 0.4
-# The part of all retries that is kept for streams that have run: one that nobody ran can come back
-# later, one that broke off is lost without.
-KEPT_FOR_BROKEN = 0.33
-# The part that must be left when a stream is taken from an upstream that still has it: the next one
-# may refuse it.
-KEPT_FOR_TAKEN = 0.11
+# How long after its last event an interrupted stream may wait for a retry: each stream that ends
+# frees capacity. After that its connection is cut, so that its caller can resume it.
+MAX_RETRY_WAIT_SECONDS = 1.0
+# Backoff between two attempts of such a stream, doubled with each refusal up to the maximum.
+REFUSAL_BACKOFF_SECONDS = 0.05
+MAX_REFUSAL_BACKOFF_SECONDS = 0.4
+# Share of the retry budget reserved for streams that were executed: a request that was never
+# executed can be sent again later, an interrupted stream is lost without a retry.
+INTERRUPTED_RESERVE_SHARE = 0.33
+# Share of the budget that must remain when a stream is detached from an upstream that still holds
+# it: the next upstream may refuse it.
+DETACHING_RESERVE_SHARE = 0.11
 
 
 class StreamRetries:
-    """Takes one stream's retries out of those that all processes may make.
+    """Spends one stream's retries from the retry budget of its service.
 
     Args:
-      context: what requests work with.
-      admitted: the stream.
+      context: the objects that requests share.
+      admitted: the stream's request.
     """
 
     def __init__(self, context: GatewayContext, admitted: Admitted) -> None:
         self._upstreams = context.upstreams
         self._budget: RetryAllowance = context.budget(admitted.service.name)
         self._route = admitted.route
-        self._in_hand = False
+        self._has_reserved = False
         self._refusals = 0
-        self._ran: set[str] = set()
+        self._executed_by: set[str] = set()
 
     def earn(self) -> None:
-        """Count the stream's first try."""
+        """Add the stream's first attempt to the retry budget."""
         self._budget.earn()
 
     def note_run(self, instance: str) -> None:
-        """Note that an upstream may run it."""
-        self._ran.add(instance)
+        """Record that an upstream may execute the stream."""
+        self._executed_by.add(instance)
 
     def note_refused(self, instance: str) -> None:
-        """Note that an upstream did not run it."""
+        """Record that an upstream refused the stream without executing it."""
         self._refusals += 1
-        self._ran.discard(instance)
+        self._executed_by.discard(instance)
 
-    def may_go_on(self) -> bool:
-        """Return whether another upstream may run it; those that are gone don't count."""
+    def may_run_elsewhere(self) -> bool:
+        """Return whether another upstream may execute it; lost upstreams don't count."""
         live = [
             each
-            for each in self._ran
+            for each in self._executed_by
             if self._upstreams.get(each) is not None and not self._upstreams.is_suspect(each)
         ]
         return self._route.repeatable and len(live) < self._route.attempts
 
     async def wait(self, progress_at: float) -> bool:
-        """Take a retry for a stream that ran, waiting a little for one; return whether it has.
+        """Spend a retry for a stream that was executed, waiting for one; return whether it got one.
 
         Args:
-          progress_at: when its caller last got something, on trio's clock.
+          progress_at: when its caller last received an event, on trio's clock.
         """
-        if self._in_hand:
-            return self.take()
+        if self._has_reserved:
+            return self.spend()
         if self._refusals:
-            pause = REFUSED_PAUSE_SECONDS * 2**self._refusals
-            await trio.sleep(min(pause, LONGEST_REFUSED_PAUSE_SECONDS))
-        while trio.current_time() < progress_at + LONGEST_SEARCH_SECONDS:
-            if self.take():
+            backoff = REFUSAL_BACKOFF_SECONDS * 2**self._refusals
+            await trio.sleep(min(backoff, MAX_REFUSAL_BACKOFF_SECONDS))
+        while trio.current_time() < progress_at + MAX_RETRY_WAIT_SECONDS:
+            if self.spend():
                 return True
-            await trio.sleep(REFUSED_PAUSE_SECONDS)
+            await trio.sleep(REFUSAL_BACKOFF_SECONDS)
         return False
 
-    def take(self, has_run: bool = True) -> bool:
-        """Take a retry; return whether there was one for this stream."""
-        if self._in_hand:
-            self._in_hand = False
+    def spend(self, was_executed: bool = True) -> bool:
+        """Spend a retry; return whether there was one for this stream."""
+        if self._has_reserved:
+            self._has_reserved = False
             return True
-        return self._budget.spend(0.0 if has_run else KEPT_FOR_BROKEN)
+        return self._budget.spend(0.0 if was_executed else INTERRUPTED_RESERVE_SHARE)
 
-    def take_ahead(self) -> bool:
-        """Take a retry before the stream is taken from its upstream; return whether it may be."""
-        self._in_hand = self.may_go_on() and self._budget.spend(KEPT_FOR_TAKEN)
-        return self._in_hand
+    def reserve(self) -> bool:
+        """Reserve a retry before the stream is detached from its upstream, if it may be retried."""
+        self._has_reserved = self.may_run_elsewhere() and self._budget.spend(
+            DETACHING_RESERVE_SHARE
+        )
+        return self._has_reserved
 
-    def keep(self) -> None:
-        """Keep a retry that was taken and not made, for the next try."""
-        self._in_hand = True
+    def reserve_unused(self) -> None:
+        """Reserve a spent but unused retry for the next attempt."""
+        self._has_reserved = True
 
     def close(self) -> None:
-        """Give back what was taken and not made."""
-        if self._in_hand:
-            self._in_hand = False
+        """Return a reserved but unused retry to the budget."""
+        if self._has_reserved:
+            self._has_reserved = False
             self._budget.give_back()
--- a/deckcourse/gateway/traffic_share.py
+++ b/deckcourse/gateway/traffic_share.py
@@ -1,7 +1,7 @@
-"""The part of all traffic that this process carries, seen without a word between processes.
+"""The share of all traffic that this process carries, measured without talking to its peers.
 
-What upstreams say of their load counts the requests of all processes. Next to the own ones there it
-tells how large a part of the whole this process is, and so its part of what all may do together.
+The load that upstreams report includes the requests of all processes. Compared with this process's
+own requests there, it gives the process's share of the traffic, and so of limits on all processes.
 """
 
 from collections.abc import Callable
@@ -9,55 +9,54 @@
 
 __all__ = ["TrafficShare"]
 
-# A measurement counts as if there were so many requests more in all, and so many of them its own:
-# before the first one, and where there are few requests, that is all that is known. Too small
-# rather than too large.
-ASSUMED_REQUESTS = 10.0
-ASSUMED_OWN = 0.5
-# Measurements are forgotten within this time, seconds, however often they come: 0.4 s apart a new
-# one counts a tenth.
-MEMORY_SECONDS = 4.0
+# Added to each measurement: this many requests in total and of this process. They are the estimate
+# before the first measurement and dominate while there are few requests; they err on the low side.
+ASSUMED_TOTAL_REQUESTS = 10.0
+ASSUMED_OWN_REQUESTS = 0.5
+# Time constant of the moving mean, independent of how often measurements come: if they come every
+# 0.4 s, a new one has a weight of a tenth.
+TIME_CONSTANT_SECONDS = 4.0
 
 
 class TrafficShare:
-    """A moving mean of the own requests at upstreams against everybody's.
+    """The moving mean of this process's share of the requests at upstreams.
 
     Args:
-      clock: seconds, steady.
+      clock: returns monotonic seconds.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
-        self._share = ASSUMED_OWN / ASSUMED_REQUESTS
+        self._share = ASSUMED_OWN_REQUESTS / ASSUMED_TOTAL_REQUESTS
         self._measured_at = float("-inf")
 
     @property
     def share(self) -> float:
-        """The part of all requests that are this process's own, over 0 and up to 1."""
+        """This process's share of all requests, greater than 0 and at most 1."""
         return self._share
 
     @property
     def measured(self) -> bool:
-        """Whether there was any traffic to measure yet."""
+        """Whether any traffic has been measured yet."""
         return self._measured_at > float("-inf")
 
     def spread(self, seconds: float, share: float) -> float:
-        """Return a pause, longer in proportion where this process carries less than `share`.
+        """Return an interval, lengthened in proportion if this process's share is below `share`.
 
-        What many processes do in turn is then done about as often as by few. Before anything was
-        measured the pause stays as it is.
+        The total rate of all processes then hardly grows with their number. Before the first
+        measurement the interval is returned unchanged.
         """
         return seconds * max(1.0, share / self._share) if self.measured else seconds
 
-    def note(self, own: int, everybodys: int) -> None:
-        """Take in one measurement.
+    def note(self, own: int, total: int) -> None:
+        """Add one measurement.
 
         Args:
           own: requests of this process at some upstreams.
-          everybodys: what those upstreams say that they have.
+          total: requests that those upstreams report.
         """
-        seen = (own + ASSUMED_OWN) / (max(own, everybodys) + ASSUMED_REQUESTS)
+        measured_share = (own + ASSUMED_OWN_REQUESTS) / (max(own, total) + ASSUMED_TOTAL_REQUESTS)
         now = self._clock()
-        kept = exp((self._measured_at - now) / MEMORY_SECONDS)
+        old_weight = exp((self._measured_at - now) / TIME_CONSTANT_SECONDS)
         self._measured_at = now
-        self._share = kept * self._share + (1.0 - kept) * seen
+        self._share = old_weight * self._share + (1.0 - old_weight) * measured_share
--- a/features/mutants_gateway.py
+++ b/features/mutants_gateway.py
@@ -96,15 +96,15 @@
 
 
 def repeats_everything():
-    Lookup._may_repeat = lambda self: True
+    Lookup._may_execute_again = lambda self: True
 
 
 def never_repeats():
-    Lookup._may_repeat = lambda self: False
+    Lookup._may_execute_again = lambda self: False
 
 
 def resumes_everything():
-    StreamRetries.may_go_on = lambda self: True
+    StreamRetries.may_run_elsewhere = lambda self: True
 
 
 def keys_never_age():
@@ -274,7 +274,7 @@
 
 
 def broken_streams_do_not_wait():
-    stream_retries_module.LONGEST_SEARCH_SECONDS = 0.0
+    stream_retries_module.MAX_RETRY_WAIT_SECONDS = 0.0
 
 
 def orders_are_given_once():
@@ -316,7 +316,7 @@
 
 
 def refused_come_back_together():
-    ReturnSchedule.take = lambda self, least, longest=6.0: least
+    ReturnSchedule.take_slot = lambda self, min_seconds, max_seconds=6.0: min_seconds
 
 
 def full_paths_are_taken():
--- a/features/steps/shared_limit_steps.py
+++ b/features/steps/shared_limit_steps.py
@@ -9,7 +9,7 @@
 
 from deckcourse.gateway.dialect import LoadReport
 from deckcourse.gateway.load_watch import LoadWatch
-from deckcourse.gateway.retry_allowance import AT_ONCE_PART, RetryAllowance, RetryLimits
+from deckcourse.gateway.retry_allowance import BURST_SHARE, RetryAllowance, RetryLimits
 from deckcourse.gateway.return_schedule import ReturnSchedule
 from deckcourse.gateway.traffic_share import TrafficShare
 from deckcourse.gateway.upstream import Upstream
@@ -101,7 +101,7 @@
 @given("an allowance of {count:d} retries at once")
 def allowance(context, count):
     clock = Clock()
-    limits = RetryLimits(slack=count / AT_ONCE_PART)
+    limits = RetryLimits(slack=count / BURST_SHARE)
     context.allowance = RetryAllowance(lambda: limits, lambda: 1.0, clock)
     clock.now = 1000.0
 
@@ -123,7 +123,7 @@
 
 @when("{count:d} requests are refused at once, to come back after {least:g} seconds")
 def refused_at_once(context, count, least):
-    context.times = [context.schedule.take(least) for _ in range(count)]
+    context.times = [context.schedule.take_slot(least) for _ in range(count)]
 
 
 @then(
@@ -192,7 +192,7 @@
 def share_becomes(context, share, seconds):
     context.clock.now += seconds
     # What came back until then came by the share until then.
-    assert context.allowance.balance == context.allowance.largest
+    assert context.allowance.balance == context.allowance.max_balance
     context.share = share
 
 
