--- a/deckcourse/gateway/path_choice.py
+++ b/deckcourse/gateway/path_choice.py
@@ -1,4 +1,4 @@
-"""The choice of a path for one request, from what this process knows at the moment."""
+"""Chooses a path for each request by the current load, refusals and failures of upstreams."""
 
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
@@ -20,65 +20,65 @@
 
 __all__ = ["PathChoice"]
 
-# A path that begins in another failure domain counts this much dearer. One chain may be 1.4 times
-# as fast as another; if all chose it, its loss would stop every stream at once.
+# Cost factor of a path that begins in another failure domain. One chain of upstreams can be 1.4
+# times as fast as another; if every process chose it, its loss would interrupt all streams at once.
 REMOTE_WEIGHT = 1.5
-# A path with all places of its tightest part taken makes streams this much slower beyond, since all
-# share its passes, and one with as many again waiting this much more.
+# Added to the cost factor of a path when its most utilized stage is full, since all streams share
+# its passes, and when as many requests again are queued there.
 BUSY_WEIGHT = 2.0
 QUEUE_WEIGHT = 20.0
-# With more than so many requests for each place, the last one waits some 1.5 s of the 2 s that its
-# caller does: it is refused at once.
-MOST_UTILIZATION = 1.4
-# A path with fewer requests for each place than this takes one more: what is known is some 0.4 s
-# old, and other processes choose as well.
+# Requests per slot above which a request is refused immediately: at this value the last one waits
+# about 1.5 s, and its caller abandons it after 2 s.
+MAX_UTILIZATION = 1.4
+# Requests per slot below which a path has room for one more: the known load is about 0.4 s old, and
+# other processes send requests too.
 ROOM_UTILIZATION = 0.8
-# A process sends requests to so many first upstreams of its domain while they have room: with more
-# its connections rest longer than upstreams keep them, and each request needs a new one.
-USUAL_FIRSTS = 3
-# A first upstream all of whose streams broke of late counts this much dearer beyond.
+# First upstreams of its own domain that a process uses while they have room. With more of them,
+# connections idle longer than upstreams keep them open, and each request needs a new one.
+MAX_PREFERRED_PATHS = 3
+# Added to the cost factor of a path if all recent streams of its first upstream failed.
 FAILURE_WEIGHT = 4.0
-# An upstream that refused is left out for so long where another path exists, seconds; twice as long
-# with each refusal that follows soon after, up to the longest: each try is a retry for somebody.
-FULL_SECONDS = 0.15
-LONGEST_FULL_SECONDS = 1.2
-# A refusal so long after the last one was over is no sign that it goes on, seconds.
-FORGOTTEN_SECONDS = 0.5
-# A process that carries less of the traffic than this remembers refusals longer, in proportion: its
-# requests come so much more seldom, and each would meet the same full upstream anew.
-REMEMBERING_SHARE = 0.1
-MOST_TIMES_LONGER = 4.0
+# How long an upstream that refused is avoided if another path exists, doubled with each refusal
+# soon after, up to the maximum: each attempt that is refused costs a retry.
+REFUSAL_BACKOFF_SECONDS = 0.15
+MAX_REFUSAL_BACKOFF_SECONDS = 1.2
+# A refusal this long after the last backoff ended starts again with the shortest backoff.
+BACKOFF_RESET_SECONDS = 0.5
+# A process with a smaller share of the traffic than this extends backoffs in proportion, up to the
+# maximum factor: its requests are rarer, and each would be refused by the same full upstream again.
+EXTENDED_BACKOFF_SHARE = 0.1
+MAX_BACKOFF_FACTOR = 4.0
 
 
 @dataclass(frozen=True)
 class _Refusal:
-    """An upstream is left out until a deadline; `seconds` is how long it was that time."""
+    """An upstream is avoided until `ends_at`; `seconds` is the length of this backoff."""
 
-    until: float
+    ends_at: float
     seconds: float
 
 
 @dataclass(frozen=True)
-class _Streams:
-    """How many streams begin or wait to at each first upstream, and how many pass each upstream."""
+class _StreamCounts:
+    """Streams that begin or queue at each first upstream, and streams that pass each upstream."""
 
-    beginning: Mapping[str, float]
+    beginning_at: Mapping[str, float]
     passing: Mapping[str, float]
 
 
 class PathChoice:
-    """Chooses paths for one service; the paths themselves are kept until something changes.
+    """Chooses paths for one service; the set of paths is cached until an upstream changes.
 
     Args:
-      service: its name.
+      service: the name of the service.
       process: the name of this process.
-      domain: its failure domain.
-      upstreams: what this process knows of upstreams.
-      clock: seconds, trio's clock.
-      control: asks upstreams for their load.
-      traffic: gets what their load tells of this process's part of all traffic.
-      loads: what is known of their load.
-      asks: returns whether this process asks for it, for itself and for others.
+      domain: the failure domain of this process.
+      upstreams: the upstreams that this process knows.
+      clock: returns seconds on trio's clock.
+      control: queries the load of upstreams.
+      traffic: updated with this process's share of all traffic.
+      loads: the reported loads of upstreams.
+      queries_loads: returns whether this process queries loads, for itself and for its peers.
       random: draws paths.
     """
 
@@ -92,7 +92,7 @@
         control: StreamControl,
         traffic: TrafficShare,
         loads: LoadBoard,
-        asks: Callable[[], bool],
+        queries_loads: Callable[[], bool],
         random: Random,
     ) -> None:
         self._service = service
@@ -100,7 +100,7 @@
         self._domain = domain
         self._upstreams = upstreams
         self._clock = clock
-        self._known: tuple[tuple[int, ModelSpec], PathSet] | None = None
+        self._cached_path_set: tuple[tuple[int, ModelSpec], PathSet] | None = None
         self._refusals: dict[str, _Refusal] = {}
         self._traffic = traffic
         self._watch = LoadWatch(
@@ -110,239 +110,263 @@
             upstreams.in_flight,
             traffic,
             loads,
-            asks,
-            self._standing,
+            queries_loads,
+            self._total_requests,
             upstreams.throttles.is_limited,
         )
         self._random = random
-        self._counted: dict[str, tuple[float, _Streams]] = {}
-        # The paths as last asked for by domain, and who passes their first upstreams.
-        self._passers: dict[str, tuple[list[LayerPath], Mapping[str, Sequence[str]]]] = {}
-        # What the parts of paths have room for, by the id of the path, and as of what.
-        self._sized: dict[int, tuple[LayerPath, Sequence[tuple[str, float]]]] = {}
-        self._sized_as_of: tuple[int, object] = (-1, None)
-        # The paths inside the own domain, and the same in the order in which this process uses
-        # them.
-        self._ordered: tuple[list[LayerPath], list[LayerPath]] = ([], [])
-        # Who can be the first of a path, as of a count of changes.
-        self._first_rows: tuple[int, list[Upstream]] | None = None
+        self._cached_stream_counts: dict[str, tuple[float, _StreamCounts]] = {}
+        # For each domain, its paths and the upstreams whose paths pass their first upstreams.
+        self._cached_passers: dict[str, tuple[list[LayerPath], Mapping[str, Sequence[str]]]] = {}
+        # The capacities of a path's stages by the path's id, and the state that they are valid for.
+        self._cached_capacities: dict[int, tuple[LayerPath, Sequence[tuple[str, float]]]] = {}
+        self._capacities_valid_for: tuple[int, object] = (-1, None)
+        # The paths inside this process's domain, and the same in the order of its preference.
+        self._preferred: tuple[list[LayerPath], list[LayerPath]] = ([], [])
+        # The upstreams that hold the first layer, and the change count that they are valid for.
+        self._cached_firsts: tuple[int, list[Upstream]] | None = None
 
     @property
     def watch(self) -> LoadWatch:
-        """What the first upstreams say of their load."""
+        """The watch over the load of the first upstreams."""
         return self._watch
 
-    def overloaded(self, path: LayerPath) -> bool:
-        """Return whether a request on a path would wait for longer than its caller does."""
-        return self._utilization(path) > MOST_UTILIZATION
+    def is_overloaded(self, path: LayerPath) -> bool:
+        """Return whether a request on a path would wait for longer than its caller waits."""
+        return self._utilization(path) > MAX_UTILIZATION
 
     def has_room(self, path: LayerPath) -> bool:
-        """Return whether a path takes one more request, as far as this process knows."""
-        return self._utilization(path) < ROOM_UTILIZATION and not self.refused_of_late(path)
+        """Return whether a path has room for one more request, as far as this process knows."""
+        return self._utilization(path) < ROOM_UTILIZATION and not self.refused_recently(path)
 
     def _firsts(self) -> list[Upstream]:
         changes = self._upstreams.changes
-        if self._first_rows is None or self._first_rows[0] != changes:
+        if self._cached_firsts is None or self._cached_firsts[0] != changes:
             usable = self._upstreams.usable(self._service)
-            self._first_rows = changes, [each for each in usable if each.first == 0 < each.end]
-        return self._first_rows[1]
+            self._cached_firsts = changes, [each for each in usable if each.first == 0 < each.end]
+        return self._cached_firsts[1]
 
     def _utilization(self, path: LayerPath) -> float:
-        """Return the requests on a path's busiest part for each one that there is room for.
+        """Return the requests per slot of a path's most utilized stage.
 
-        The first part has places for requests that begin there, every part memory for those that
-        pass it.
+        The first stage has slots for requests that begin there, and every stage has memory for the
+        requests that pass it.
         """
         first = self._upstreams.get(path.parts[0].instance)
         if first is None:
             return 0.0
-        streams = self._streams("" if path.crossings else path.domain)
-        beginning = streams.beginning.get(first.instance, 0.0)
-        own = max(self._watch.cache_share(first.instance), beginning / max(1, first.slots))
-        passed = streams.passing
-        return max(own, *[passed[name] / places for name, places in self._places_on(path)])
-
-    def _places_on(self, path: LayerPath) -> Sequence[tuple[str, float]]:
-        """Return for each part of a path how many requests it takes; kept until rows change."""
+        counts = self._stream_counts("" if path.crossings else path.domain)
+        beginning = counts.beginning_at.get(first.instance, 0.0)
+        at_first = max(self._watch.cache_share(first.instance), beginning / max(1, first.slots))
+        passing_streams = counts.passing
+        return max(
+            at_first,
+            *[
+                passing_streams[instance] / capacity
+                for instance, capacity in self._stage_capacities(path)
+            ],
+        )
+
+    def _stage_capacities(self, path: LayerPath) -> Sequence[tuple[str, float]]:
+        """Return the instance and capacity of each stage of a path, cached until rows change."""
         changes = self._upstreams.changes
-        if self._sized_as_of[0] != changes or self._sized_as_of[1] is not self._known:
-            self._sized_as_of = changes, self._known
-            self._sized.clear()
-        known = self._sized.get(id(path))
-        if known is None:
-            sizes = [(each.instance, self._places(each)) for each in path.parts]
-            # With the path, so that no other one takes its id meanwhile.
-            known = self._sized[id(path)] = path, sizes
-        return known[1]
-
-    def _streams(self, domain: str = "") -> _Streams:
-        """Return how many streams begin at and pass each upstream, counted once a moment.
+        if (
+            self._capacities_valid_for[0] != changes
+            or self._capacities_valid_for[1] is not self._cached_path_set
+        ):
+            self._capacities_valid_for = changes, self._cached_path_set
+            self._cached_capacities.clear()
+        cached = self._cached_capacities.get(id(path))
+        if cached is None:
+            capacities = [(each.instance, self._capacity(each)) for each in path.parts]
+            # Keeps a reference to the path, so that its id isn't reused.
+            cached = self._cached_capacities[id(path)] = path, capacities
+        return cached[1]
+
+    def _stream_counts(self, domain: str = "") -> _StreamCounts:
+        """Return how many streams begin at and pass each upstream, computed once per clock value.
 
         Args:
-          domain: counts the paths inside it, all paths where it is empty.
+          domain: count only the paths inside this domain; all paths if empty.
         """
         now = self._clock()
-        known = self._counted.get(domain)
-        if known is None or known[0] != now:
+        cached = self._cached_stream_counts.get(domain)
+        if cached is None or cached[0] != now:
             paths: list[LayerPath] = []
-            if self._known is not None:
-                paths = self._known[1].inside(domain) if domain else self._known[1].starts()
-            begun = begun_at(paths, self._watch.running, self._passers_of(domain, paths))
-            beginning = {name: each + self._watch.waiting(name) for name, each in begun.items()}
-            known = self._counted[domain] = now, _Streams(beginning, passing(paths, beginning))
-        return known[1]
-
-    def _passers_of(self, domain: str, paths: list[LayerPath]) -> Mapping[str, Sequence[str]]:
-        """Return who passes the first upstreams of paths, worked out once for each list of them."""
-        known = self._passers.get(domain)
-        if known is None or known[0] is not paths:
-            known = self._passers[domain] = paths, passers(paths)
-        return known[1]
-
-    def _standing(self) -> float:
-        """Return all requests at first upstreams, each counted once.
-
-        What those of other domains tell counts by as much less as it does in the own one.
+            if self._cached_path_set is not None:
+                paths = (
+                    self._cached_path_set[1].inside(domain)
+                    if domain
+                    else self._cached_path_set[1].starts()
+                )
+            begun = begun_at(paths, self._watch.running, self._find_passers(domain, paths))
+            beginning_at = {name: each + self._watch.waiting(name) for name, each in begun.items()}
+            cached = self._cached_stream_counts[domain] = now, _StreamCounts(
+                beginning_at, passing(paths, beginning_at)
+            )
+        return cached[1]
+
+    def _find_passers(self, domain: str, paths: list[LayerPath]) -> Mapping[str, Sequence[str]]:
+        """Return the upstreams whose paths pass each first upstream, cached for a list of paths."""
+        cached = self._cached_passers.get(domain)
+        if cached is None or cached[0] is not paths:
+            cached = self._cached_passers[domain] = paths, passers(paths)
+        return cached[1]
+
+    def _total_requests(self) -> float:
+        """Return the number of requests at all first upstreams, each counted once.
+
+        Loads that other domains report are scaled by the ratio found in this process's domain.
         """
-        beginning = self._streams(self._domain).beginning
-        near = sum(map(self._watch.told, beginning))
-        part = sum(beginning.values()) / near if near else 1.0
-        return part * sum(self._watch.told(each.instance) for each in self._firsts())
-
-    def _places(self, part: PathPart) -> float:
-        """Return how many usual requests a part of a path takes at once beside its weights."""
-        row = self._upstreams.get(part.instance)
-        if row is None or self._known is None:
+        beginning_at = self._stream_counts(self._domain).beginning_at
+        domain_total = sum(map(self._watch.told, beginning_at))
+        scale = sum(beginning_at.values()) / domain_total if domain_total else 1.0
+        return scale * sum(self._watch.told(each.instance) for each in self._firsts())
+
+    def _capacity(self, stage: PathPart) -> float:
+        """Return how many typical requests fit into a stage's memory beside the model weights."""
+        row = self._upstreams.get(stage.instance)
+        if row is None or self._cached_path_set is None:
             return 1.0
-        model = self._known[1].model
-        return max(1.0, model.places(row.kind, row.end - row.first, part.end - part.first))
+        model = self._cached_path_set[1].model
+        return max(1.0, model.places(row.kind, row.end - row.first, stage.end - stage.first))
 
     def note_full(self, instance: str) -> None:
-        """Note that an upstream has no room at the moment."""
+        """Record that an upstream has no room at the moment."""
         now = self._clock()
-        known = self._refusals.get(instance)
-        longer = self._longer
-        seconds = FULL_SECONDS * longer
-        if known is not None and now < known.until + FORGOTTEN_SECONDS * longer:
-            # Requests that were under way together tell of one refusal.
-            seconds = known.seconds if now < known.until else known.seconds * 2
-        seconds = min(seconds, LONGEST_FULL_SECONDS * longer)
+        last_refusal = self._refusals.get(instance)
+        factor = self._backoff_factor
+        seconds = REFUSAL_BACKOFF_SECONDS * factor
+        if last_refusal is not None and now < last_refusal.ends_at + BACKOFF_RESET_SECONDS * factor:
+            # Refusals of requests that were in flight together count as one.
+            seconds = (
+                last_refusal.seconds if now < last_refusal.ends_at else last_refusal.seconds * 2
+            )
+        seconds = min(seconds, MAX_REFUSAL_BACKOFF_SECONDS * factor)
         self._refusals[instance] = _Refusal(now + seconds, seconds)
 
     @property
-    def _longer(self) -> float:
-        """How many times longer than on a small site refusals are remembered."""
-        return min(MOST_TIMES_LONGER, self._traffic.spread(1.0, REMEMBERING_SHARE))
+    def _backoff_factor(self) -> float:
+        """The factor by which this process extends backoffs, by its share of the traffic."""
+        return min(MAX_BACKOFF_FACTOR, self._traffic.spread(1.0, EXTENDED_BACKOFF_SHARE))
 
-    def refused_of_late(self, path: LayerPath) -> bool:
-        """Return whether a path passes an upstream that is left out where there is another."""
-        return bool(path.instances & self._full())
+    def refused_recently(self, path: LayerPath) -> bool:
+        """Return whether a path passes an upstream that is avoided after a refusal."""
+        return bool(path.instances & self._refusing())
 
-    def _full(self) -> set[str]:
+    def _refusing(self) -> set[str]:
         now = self._clock()
-        forgotten = now - FORGOTTEN_SECONDS * self._longer
+        oldest_end = now - BACKOFF_RESET_SECONDS * self._backoff_factor
         self._refusals = {
-            name: each for name, each in self._refusals.items() if each.until > forgotten
+            name: each for name, each in self._refusals.items() if each.ends_at > oldest_end
         }
-        return {name for name, each in self._refusals.items() if each.until > now}
+        return {name for name, each in self._refusals.items() if each.ends_at > now}
 
     def choose(self, model: ModelSpec, avoid: frozenset[str] = frozenset()) -> LayerPath | None:
-        """Return the path to take, None where the usable upstreams don't hold every layer.
+        """Return the path to take, None if the usable upstreams don't hold every layer.
 
         Args:
-          model: what is asked for.
-          avoid: upstreams that this request must not meet again.
+          model: the requested model.
+          avoid: upstreams that this request must not use again.
         """
-        # One that asked for time runs its part of a path that begins elsewhere where there is no
-        # other, but begins none. Paths are passed over, since working them out anew takes long.
-        closed = self._upstreams.backing_off()
-        full = self._full() | closed
-        near = self._near_with_room(model, avoid | full)
-        if near:
-            return draw_path(near, self._score, self._random)
-        path = self._best(self._paths(model, avoid | full)) if full - avoid else None
-        return path or self._best(
-            [each for each in self._paths(model, avoid) if each.parts[0].instance not in closed]
+        # An upstream that is backing off can be a later stage if there is no other path, but never
+        # the first. Existing paths are filtered, since computing new ones takes long.
+        backing_off = self._upstreams.backing_off()
+        unfavoured = self._refusing() | backing_off
+        preferred = self._preferred_with_room(model, avoid | unfavoured)
+        if preferred:
+            return draw_path(preferred, self._score, self._random)
+        path = self._draw(self._paths(model, avoid | unfavoured)) if unfavoured - avoid else None
+        return path or self._draw(
+            [
+                each
+                for each in self._paths(model, avoid)
+                if each.parts[0].instance not in backing_off
+            ]
         )
 
-    def choose_quietest(
+    def choose_least_busy(
         self, model: ModelSpec, avoid: frozenset[str] = frozenset()
     ) -> LayerPath | None:
-        """Return the path whose first upstream has the fewest streams, whatever it costs.
+        """Return the path whose first upstream has the fewest streams, whatever its cost.
 
-        For a request that may end it, with all of them.
+        It is for suspect requests, which may crash that upstream and interrupt its streams.
 
         Args:
-          model: what is asked for.
-          avoid: upstreams that this request must not meet again.
+          model: the requested model.
+          avoid: upstreams that this request must not use again.
         """
-        closed = self._upstreams.backing_off()
+        backing_off = self._upstreams.backing_off()
         paths = [
             each
-            for each in self._paths(model, avoid | self._full()) or self._paths(model, avoid)
-            if each.parts[0].instance not in closed
+            for each in self._paths(model, avoid | self._refusing()) or self._paths(model, avoid)
+            if each.parts[0].instance not in backing_off
         ]
-        beginning = self._streams().beginning
-        return min(paths, key=lambda each: beginning.get(each.parts[0].instance, 0.0), default=None)
+        beginning_at = self._stream_counts().beginning_at
+        return min(
+            paths, key=lambda each: beginning_at.get(each.parts[0].instance, 0.0), default=None
+        )
 
-    def _near_with_room(self, model: ModelSpec, avoid: frozenset[str]) -> list[LayerPath]:
-        """Return the few paths of the own domain with room that this process keeps to."""
+    def _preferred_with_room(self, model: ModelSpec, avoid: frozenset[str]) -> list[LayerPath]:
+        """Return the preferred paths inside this process's domain that have room."""
         inside = self._path_set(model).inside(self._domain)
-        if self._ordered[0] is not inside:
-            self._ordered = inside, usual_paths(inside, self._process, len(inside))
-        clear = (each for each in self._ordered[1] if not each.instances & avoid)
-        with_room = (each for each in clear if self._utilization(each) < 1.0)
-        return list(islice(with_room, USUAL_FIRSTS))
+        if self._preferred[0] is not inside:
+            self._preferred = inside, usual_paths(inside, self._process, len(inside))
+        avoiding = (each for each in self._preferred[1] if not each.instances & avoid)
+        with_room = (each for each in avoiding if self._utilization(each) < 1.0)
+        return list(islice(with_room, MAX_PREFERRED_PATHS))
 
     def _paths(self, model: ModelSpec, avoid: frozenset[str]) -> list[LayerPath]:
         paths = self._path_set(model)
-        clear = [each for each in paths.starts() if not each.instances & avoid]
-        return clear or paths.starts(avoid)
+        avoiding = [each for each in paths.starts() if not each.instances & avoid]
+        return avoiding or paths.starts(avoid)
 
     def _path_set(self, model: ModelSpec) -> PathSet:
         key = (self._upstreams.changes, model)
-        if self._known is None or self._known[0] != key:
-            before = self._known[1] if self._known is not None else None
+        if self._cached_path_set is None or self._cached_path_set[0] != key:
+            before = self._cached_path_set[1] if self._cached_path_set is not None else None
             hosts = self._upstreams.layer_hosts(self._service)
             listed = [each for each in hosts if not each.lapsing]
             paths = PathSet(model, listed, before)
             if len(listed) < len(hosts) and not paths.starts():
                 paths = PathSet(model, hosts, before)
-            self._known = (key, paths)
-        return self._known[1]
+            self._cached_path_set = (key, paths)
+        return self._cached_path_set[1]
 
     def opens_at(self, model: ModelSpec) -> float | None:
-        """Return when the first upstream of a path takes requests again, on the clock.
+        """Return when a path's first upstream accepts requests again at the earliest, on the clock.
 
-        None where one does now, or where no path is whole.
+        None if one accepts them now, or if no path holds every layer.
         """
         firsts = [each.parts[0].instance for each in self._path_set(model).starts()]
         return self._upstreams.first_end(firsts)
 
-    def _best(self, paths: list[LayerPath]) -> LayerPath | None:
-        return draw_path(self._open(paths) or paths, self._score, self._random)
+    def _draw(self, paths: list[LayerPath]) -> LayerPath | None:
+        return draw_path(self._without_overloaded(paths) or paths, self._score, self._random)
 
-    def _open(self, paths: list[LayerPath]) -> list[LayerPath]:
-        return [each for each in paths if not self.overloaded(each)]
+    def _without_overloaded(self, paths: list[LayerPath]) -> list[LayerPath]:
+        return [each for each in paths if not self.is_overloaded(each)]
 
     def _score(self, path: LayerPath) -> float:
         first = path.parts[0].instance
-        use = self._utilization(path)
-        load = 1.0 + BUSY_WEIGHT * min(use, 1.0) + QUEUE_WEIGHT * max(0.0, use - 1.0)
+        utilization = self._utilization(path)
+        load = (
+            1.0 + BUSY_WEIGHT * min(utilization, 1.0) + QUEUE_WEIGHT * max(0.0, utilization - 1.0)
+        )
         failures = 1.0 + FAILURE_WEIGHT * self._upstreams.failure_share(first)
         remote = 1.0 if path.domain == self._domain else REMOTE_WEIGHT
         return path.cost * load * failures * remote
 
     def onward(self, model: ModelSpec, first: PathPart, avoid: frozenset[str]) -> LayerPath | None:
-        """Return another path for a running request; its first part can't change.
+        """Return another path for a running request; its first stage can't change.
 
         Args:
-          model: what was asked for.
-          first: the part of the upstream that the request was sent to.
-          avoid: upstreams that the path must not meet.
+          model: the requested model.
+          first: the stage of the upstream that the request was sent to.
+          avoid: upstreams that the path must not use.
 
         Returns:
-          The path, None where the usable upstreams don't hold every further layer.
+          The path, None if the usable upstreams don't hold every further layer.
         """
         row = self._upstreams.last_known(first.instance)
         if row is None:
--- a/deckcourse/gateway/stream.py
+++ b/deckcourse/gateway/stream.py
@@ -169,12 +169,12 @@
         self, path: LayerPath, attempts: int, last_failure: _Refused | _Broken | None
     ) -> Outcome | None:
         """Return the refusal of a request that was not executed yet, None if it may be sent."""
-        if self._choice.overloaded(path):
+        if self._choice.is_overloaded(path):
             message = "every path has more requests queued than it can serve in time"
             return NotRun(
                 NotRunReason.OVERLOADED, message, self._retry_after(OVERLOAD_RETRY_AFTER_SECONDS)
             )
-        if attempts and self._choice.refused_of_late(path):
+        if attempts and self._choice.refused_recently(path):
             return self._give_up(
                 last_failure, NotRunReason.UPSTREAM_REFUSED, FULL_RETRY_AFTER_SECONDS
             )
@@ -227,7 +227,7 @@
         trials = self._context.crashes.trial_upstreams()
         choose = self._choice.choose
         if self._context.crashes.known_ends(self._admitted):
-            choose = self._choice.choose_quietest
+            choose = self._choice.choose_least_busy
         path = choose(model, avoid | trials) if trials else None
         return path or choose(model, avoid)
 
--- a/features/mutants_gateway.py
+++ b/features/mutants_gateway.py
@@ -235,11 +235,11 @@
 
 
 def refusals_are_forgotten():
-    path_choice_module.LONGEST_FULL_SECONDS = path_choice_module.FULL_SECONDS
+    path_choice_module.MAX_REFUSAL_BACKOFF_SECONDS = path_choice_module.REFUSAL_BACKOFF_SECONDS
 
 
 def memory_has_no_places():
-    PathChoice._places = lambda self, part: self._upstreams.get(part.instance).slots
+    PathChoice._capacity = lambda self, part: self._upstreams.get(part.instance).slots
 
 
 def taken_without_retry():
@@ -320,7 +320,7 @@
 
 
 def full_paths_are_taken():
-    PathChoice._open = lambda self, paths: paths
+    PathChoice._without_overloaded = lambda self, paths: paths
 
 
 SHARED = ("shared_limits",)
--- a/features/steps/work_steps.py
+++ b/features/steps/work_steps.py
@@ -168,7 +168,7 @@
 def ask_again(context, question):
     asked = {
         "which path a request takes": lambda: context.choice.choose(context.model),
-        "how many requests stand at all firsts": context.choice._standing,
+        "how many requests stand at all firsts": context.choice._total_requests,
     }[question]
     context.choice.choose(context.model)
     asked()
