--- a/deckcourse/gateway/desired.py
+++ b/deckcourse/gateway/desired.py
@@ -1,4 +1,4 @@
-"""The desired state that operators write: routes, services, limits and client accounts."""
+"""The desired state that operators configure: routes, services, limits and client accounts."""
 
 from collections import defaultdict
 from dataclasses import dataclass, field
@@ -20,7 +20,7 @@
 
 
 class RouteKind(StrEnum):
-    """What may be done with a request a second time."""
+    """Whether and how a request of a route may be executed again."""
 
     REPEATABLE = "repeatable"
     AT_MOST_ONCE = "at-most-once"
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Target:
-    """A service that takes a share of a route's requests, by weight."""
+    """A service that gets a weighted share of a route's requests."""
 
     service: str
     weight: float
@@ -39,8 +39,9 @@
 class RouteSpec:
     """One route; times in seconds.
 
-    `objective` is the time within which an answer has its full worth, `gap_objective` the longest
-    pause between events of a stream, 0 for none; `attempts` the most upstreams for one request.
+    `objective` is the time within which a response keeps its full value, `gap_objective` the
+    longest allowed gap between two events of a stream, 0 for none. `attempts` is the largest number
+    of upstreams that may execute one request.
     """
 
     name: str
@@ -58,17 +59,17 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request may be executed more than once."""
         if self.kind is RouteKind.STREAM:
             return self.resumable
         return self.kind is RouteKind.REPEATABLE
 
-    def service_for(self, request: str) -> str:
-        """Return the service that takes a request; the same one each time it is asked."""
+    def service_for(self, request_id: str) -> str:
+        """Return the service that gets a request, the same one each time for one request id."""
         if len(self.targets) == 1:
             return self.targets[0].service
         total = sum(each.weight for each in self.targets)
-        digest = blake2b(request.encode(), digest_size=8).digest()
+        digest = blake2b(request_id.encode(), digest_size=8).digest()
         point = int.from_bytes(digest) / 2**64 * total
         for target in self.targets:
             point -= target.weight
@@ -79,7 +80,7 @@
 
 @dataclass(frozen=True)
 class UpstreamService:
-    """A service; `model` is given where its upstreams hold ranges of a model's layers."""
+    """A service; `model` is set if its upstreams hold ranges of a model's layers."""
 
     name: str
     max_connections: int
@@ -88,7 +89,7 @@
 
 @dataclass(frozen=True)
 class CallerBounds:
-    """What callers may send and how long they may take; bytes and seconds."""
+    """Limits on the size and duration of callers' requests, in bytes and seconds."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 1024 * 1024
@@ -98,7 +99,7 @@
 
 @dataclass(frozen=True)
 class AccountSpec:
-    """A client account; a lower `priority` goes first, None leaves it to the route."""
+    """A client account; lower `priority` values go first, None means the route's priority."""
 
     name: str
     keys: tuple[str, ...]
@@ -107,7 +108,7 @@
 
 @dataclass(frozen=True)
 class DesiredState:
-    """One whole version of what operators want."""
+    """One complete version of the desired state."""
 
     version: int
     routes: tuple[RouteSpec, ...]
@@ -116,30 +117,30 @@
     accounts: tuple[AccountSpec, ...] = ()
 
     @cached_property
-    def _by_host(self) -> dict[str, list[RouteSpec]]:
-        found: dict[str, list[RouteSpec]] = defaultdict(list)
+    def _routes_by_host(self) -> dict[str, list[RouteSpec]]:
+        routes_by_host: dict[str, list[RouteSpec]] = defaultdict(list)
         for route in self.routes:
-            found[route.host].append(route)
-        for routes in found.values():
+            routes_by_host[route.host].append(route)
+        for routes in routes_by_host.values():
             routes.sort(key=lambda each: -len(each.prefix))
-        return found
+        return routes_by_host
 
     @cached_property
-    def _by_key(self) -> dict[str, AccountSpec]:
+    def _accounts_by_key(self) -> dict[str, AccountSpec]:
         return {key: account for account in self.accounts for key in account.keys}
 
     def route_of(self, host: str, path: str) -> RouteSpec | None:
-        """Return the route with the longest prefix of the path, None where there is none."""
-        for route in self._by_host.get(host, ()):
+        """Return the route whose prefix is the longest match for the path, None if none matches."""
+        for route in self._routes_by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
     def account_of(self, key: str) -> AccountSpec | None:
-        """Return the client account that holds an API key, None where nobody does."""
-        return self._by_key.get(key)
+        """Return the client account that holds an API key, None if there is none."""
+        return self._accounts_by_key.get(key)
 
     @property
     def has_accounts(self) -> bool:
-        """Whether requests need a key, but for public routes."""
+        """Whether requests need an API key, except on public routes."""
         return bool(self.accounts)
--- a/deckcourse/gateway/gateway.py
+++ b/deckcourse/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway: a caller's request from its head to its outcome."""
+"""The gateway: serves callers' requests, from the request head to the outcome."""
 
 from collections.abc import Callable
 
@@ -17,16 +17,16 @@
 
 __all__ = ["Gateway"]
 
-# When to come back to an entry that doesn't know its configuration, seconds: another one may.
-NOT_READY_RETRY_SECONDS = 0.1
+# Retry-after value of an entry that has no configuration yet: another entry may have one.
+NOT_READY_RETRY_AFTER_SECONDS = 0.1
 
 
 class Gateway:
-    """Answers callers' requests by the desired state in force.
+    """Serves callers' requests according to the current desired state.
 
     Args:
-      context: what requests work with.
-      desired: returns the desired state in force, None before one is known.
+      context: the objects that requests share.
+      desired: returns the current desired state, None before one is known.
       domain: the failure domain of this process.
     """
 
@@ -44,31 +44,31 @@
 
     @property
     def context(self) -> GatewayContext:
-        """What requests work with."""
+        """The objects that requests share."""
         return self._context
 
     @property
     def requests(self) -> int:
-        """How many requests are in flight."""
+        """The number of requests in flight."""
         return self._requests
 
     def refuse_new(self) -> None:
-        """Refuse every request that comes from now on; those under way go on."""
+        """Refuse all new requests from now on; those in flight continue."""
         self._refuses_new = True
 
     async def handle(self, message: IncomingRequest, exchange: Exchange) -> None:
-        """Answer one request; returns with the answer unfinished where it must be cut off."""
+        """Serve one request; an unfinished response on return means that it must be cut off."""
         self._requests += 1
-        arrived = trio.current_time()
+        arrived_at = trio.current_time()
         caller = self._context.dialect.read(message)
-        outcome: Outcome = Unknown(UnknownReason.CALLER_GONE, "the caller is gone")
+        outcome: Outcome = Unknown(UnknownReason.CALLER_GONE, "the caller disconnected")
         try:
             outcome = await self._serve(caller, exchange)
             if not isinstance(outcome, Answered) and not exchange.started:
-                await _tell(exchange, outcome)
+                await _send_outcome(exchange, outcome)
         finally:
             self._requests -= 1
-            self._note(caller, outcome, trio.current_time() - arrived)
+            self._record_outcome(caller, outcome, trio.current_time() - arrived_at)
             if exchange.torn:
                 self._context.count("answer.torn")
 
@@ -82,13 +82,15 @@
 
     def _admit(self, caller: CallerRequest, exchange: Exchange) -> Admitted | NotRun:
         if self._refuses_new:
-            return NotRun(NotRunReason.STOPPING, "this entry is stopping", NOT_READY_RETRY_SECONDS)
+            return NotRun(
+                NotRunReason.STOPPING, "this entry is stopping", NOT_READY_RETRY_AFTER_SECONDS
+            )
         desired = self._desired()
         if desired is None:
-            return _not_ready("this entry does not know its configuration yet")
+            return _not_ready("this entry has no configuration yet")
         route = desired.route_of(caller.host, caller.path)
         needs_key = route is not None and desired.has_accounts and not route.public
-        # What an old configuration says of routes and keys may no longer be true.
+        # Routes and keys of an outdated configuration may no longer be valid.
         if (route is None or needs_key) and not self._context.may_send():
             return _not_ready("this entry's configuration may be out of date")
         if route is None:
@@ -101,10 +103,10 @@
         service = desired.services.get(route.service_for(caller.request_id))
         if service is None:
             return NotRun(NotRunReason.NO_ROUTE, f"route {route.name} has no service")
-        deadline = trio.current_time() + _seconds(caller, route)
+        deadline = trio.current_time() + _timeout_seconds(caller, route)
         return Admitted(caller, route, service, account, deadline, exchange)
 
-    def _note(self, caller: CallerRequest, outcome: Outcome, seconds: float) -> None:
+    def _record_outcome(self, caller: CallerRequest, outcome: Outcome, seconds: float) -> None:
         context = self._context
         context.timing("hold", seconds)
         match outcome:
@@ -122,15 +124,15 @@
                 )
 
 
-def _seconds(caller: CallerRequest, route: RouteSpec) -> float:
+def _timeout_seconds(caller: CallerRequest, route: RouteSpec) -> float:
     return min(route.timeout, caller.patience if caller.patience is not None else route.timeout)
 
 
 def _not_ready(message: str) -> NotRun:
-    return NotRun(NotRunReason.NOT_READY, message, NOT_READY_RETRY_SECONDS)
+    return NotRun(NotRunReason.NOT_READY, message, NOT_READY_RETRY_AFTER_SECONDS)
 
 
-async def _tell(exchange: Exchange, outcome: NotRun | Unknown) -> None:
+async def _send_outcome(exchange: Exchange, outcome: NotRun | Unknown) -> None:
     head = response_head(outcome, fractions=True)
     body = msgspec.json.encode({"error": outcome.message, "reason": str(outcome.reason)})
     headers = (*head.headers, (b"content-type", b"application/json"))
--- a/deckcourse/gateway/path_choice.py
+++ b/deckcourse/gateway/path_choice.py
@@ -219,9 +219,9 @@
         Loads that other domains report are scaled by the ratio found in this process's domain.
         """
         beginning_at = self._stream_counts(self._domain).beginning_at
-        domain_total = sum(map(self._watch.told, beginning_at))
+        domain_total = sum(map(self._watch.reported, beginning_at))
         scale = sum(beginning_at.values()) / domain_total if domain_total else 1.0
-        return scale * sum(self._watch.told(each.instance) for each in self._firsts())
+        return scale * sum(self._watch.reported(each.instance) for each in self._firsts())
 
     def _capacity(self, stage: PathPart) -> float:
         """Return how many typical requests fit into a stage's memory beside the model weights."""
--- a/deckcourse/gateway/server.py
+++ b/deckcourse/gateway/server.py
@@ -1,4 +1,4 @@
-"""The gateway's listeners, and its way from the first signal to its end."""
+"""The gateway's listeners and its orderly shutdown."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -18,21 +18,22 @@
 
 __all__ = ["GatewayServer", "ListenAddresses"]
 
-# Connections that wait to be accepted, at the most, for each listener.
-BACKLOG = 512
-# New callers come for so long after SIGTERM: the balancer asks once a second, and two misses count.
-BALANCER_SECONDS = 2.6
-# What is left of the grace at the end, for the process to go, seconds.
-LAST_SECONDS = 0.7
-# Between two looks whether the last request has ended, seconds.
-LOOK_SECONDS = 0.05
-# After a failure to accept (no descriptors left), seconds.
-ACCEPT_PAUSE_SECONDS = 0.1
+# Length of each listener's accept queue.
+ACCEPT_BACKLOG = 512
+# How long new callers still come after SIGTERM: the balancer checks readiness once a second and
+# needs two failed checks.
+BALANCER_GRACE_SECONDS = 2.6
+# Part of the grace period that is reserved for the exit of the process.
+EXIT_RESERVE_SECONDS = 0.7
+# Interval between two checks whether all requests have ended.
+DRAIN_CHECK_INTERVAL_SECONDS = 0.05
+# Pause after a failure to accept a connection, such as for a lack of file descriptors.
+ACCEPT_BACKOFF_SECONDS = 0.1
 
 
 @dataclass(frozen=True)
 class ListenAddresses:
-    """Where the gateway listens."""
+    """The addresses that the gateway listens on."""
 
     callers: Address
     ready: Address
@@ -41,15 +42,15 @@
 
 
 class GatewayServer:
-    """Serves callers, the balancer's question, the metrics and the other processes of one node.
+    """Serves callers, the balancer's readiness check, metrics and the peers of one node.
 
     Args:
-      node: answers callers and knows whether it is ready.
-      addresses: where to listen.
-      stop_grace: returns how long the process may take to stop, seconds.
+      node: serves callers and peers and knows whether it is ready.
+      addresses: the addresses to listen on.
+      stop_grace: returns how long the shutdown may take, seconds.
       metrics: returns the metrics as text.
-      ready_path: the path of the balancer's question.
-      log: writes decisions.
+      ready_path: the path of the balancer's readiness check.
+      log: writes an entry to the decision log.
     """
 
     def __init__(
@@ -68,15 +69,15 @@
         self._ready_path = ready_path
         self._log = log
         self._stop = trio.Event()
-        self._resting = RestingConnections()
+        self._idle_connections = RestingConnections()
 
     def stop(self) -> None:
-        """Begin the orderly stop."""
+        """Begin the orderly shutdown."""
         self._node.stop()
         self._stop.set()
 
     async def run(self) -> None:
-        """Serve until `stop`, then until nothing is in flight or the grace is over."""
+        """Serve until `stop`, then until no request is in flight or the grace period ends."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._node.run)
             await self._listen(nursery, self._addresses.ready, self._answer_ready)
@@ -92,18 +93,18 @@
         grace = self._stop_grace()
         started = trio.current_time()
         self._log("stopping", requests=self._node.gateway.requests, grace=grace)
-        await trio.sleep(min(BALANCER_SECONDS, grace / 2))
+        await trio.sleep(min(BALANCER_GRACE_SECONDS, grace / 2))
         self._node.refuse_new()
-        self._resting.close()
+        self._idle_connections.close()
         while self._node.gateway.requests:
-            if trio.current_time() >= started + grace - LAST_SECONDS:
+            if trio.current_time() >= started + grace - EXIT_RESERVE_SECONDS:
                 break
-            await trio.sleep(LOOK_SECONDS)
+            await trio.sleep(DRAIN_CHECK_INTERVAL_SECONDS)
         self._log("stopped", unfinished=self._node.gateway.requests)
 
     async def _listen(self, nursery: trio.Nursery, address: Address, handler: Handler) -> None:
         host, _, port = address.rpartition(":")
-        listeners = await trio.open_tcp_listeners(int(port), host=host, backlog=BACKLOG)
+        listeners = await trio.open_tcp_listeners(int(port), host=host, backlog=ACCEPT_BACKLOG)
         nursery.start_soon(self._accept, listeners[0], handler, nursery)
 
     async def _accept(
@@ -114,24 +115,24 @@
                 stream = await listener.accept()
             except OSError as error:
                 self._log("accept-failed", what=str(error))
-                await trio.sleep(ACCEPT_PAUSE_SECONDS)
+                await trio.sleep(ACCEPT_BACKOFF_SECONDS)
                 continue
             nursery.start_soon(self._serve, stream, handler)
 
     async def _serve(self, stream: trio.SocketStream, handler: Handler) -> None:
         try:
             await serve_connection(
-                stream, handler, self._bounds, lambda: self._node.stopping, self._resting
+                stream, handler, self._bounds, lambda: self._node.stopping, self._idle_connections
             )
-        except Exception as error:  # One connection's fault must not end the process.
+        except Exception as error:  # A fault in one connection must not end the process.
             self._log("connection-failed", what=repr(error))
 
     def _bounds(self) -> CallerBounds:
         return self._node.bounds
 
     async def _answer_ready(self, request: IncomingRequest, exchange: Exchange) -> None:
-        found = request.target.partition(b"?")[0] == self._ready_path
-        status = 404 if not found else 200 if self._node.ready else 503
+        is_ready_path = request.target.partition(b"?")[0] == self._ready_path
+        status = 404 if not is_ready_path else 200 if self._node.ready else 503
         await exchange.whole(status, (), b"")
 
     async def _answer_metrics(self, request: IncomingRequest, exchange: Exchange) -> None:
--- a/deckcourse/gateway/stream.py
+++ b/deckcourse/gateway/stream.py
@@ -329,7 +329,7 @@
         self._executions += 1
         stream.execution = self._context.crashes.begin_run(admitted, dispatch.instance)
         self._retries.note_run(dispatch.instance)
-        self._choice.watch.note_begun(dispatch.instance)
+        self._choice.watch.note_sent(dispatch.instance)
         try:
             with stream.interruptible():
                 reply, facts = await send_request(self._context, admitted, connection, dispatch)
--- a/features/mutants_gateway.py
+++ b/features/mutants_gateway.py
@@ -57,16 +57,16 @@
 
 
 def comments_are_events():
-    kept = EventReader._event
-    EventReader._event = lambda self, block: (
-        Event(block, self._before or self._last or 1)
+    kept = EventReader._parse_event
+    EventReader._parse_event = lambda self, block: (
+        Event(block, self._previous or self._last or 1)
         if events_module._COMMENTS.fullmatch(block)
         else kept(self, block)
     )
 
 
 def events_without_bound():
-    events_module.LARGEST_EVENT = float("inf")
+    events_module.MAX_EVENT_BYTES = float("inf")
 
 
 def joined_answers_pass():
