--- a/deckcourse/gateway/gateway.py
+++ b/deckcourse/gateway/gateway.py
@@ -9,7 +9,7 @@
 from deckcourse.gateway.context import GatewayContext
 from deckcourse.gateway.desired import DesiredState, RouteSpec
 from deckcourse.gateway.dialect import CallerRequest
-from deckcourse.gateway.lookup import Lookup
+from deckcourse.gateway.lookup import ServiceCall
 from deckcourse.gateway.stream import StreamCall
 from deckcourse.http1.server import Exchange, IncomingRequest
 from deckcourse.outcomes import Answered, NotRun, Outcome, Unknown, response_head
@@ -78,7 +78,7 @@
             return admitted
         if admitted.service.model is not None:
             return await StreamCall(self._context, admitted).run()
-        return await Lookup(self._context, admitted, self._domain).run()
+        return await ServiceCall(self._context, admitted, self._domain).run()
 
     def _admit(self, caller: CallerRequest, exchange: Exchange) -> Admitted | NotRun:
         if self._refuses_new:
--- a/deckcourse/gateway/lookup.py
+++ b/deckcourse/gateway/lookup.py
@@ -24,7 +24,7 @@
 from deckcourse.outcomes import Answered, NotRun, Outcome, Unknown
 from deckcourse.reasons import NotRunReason, RetryReason, UnknownReason
 
-__all__ = ["Lookup"]
+__all__ = ["ServiceCall"]
 
 # Attempts after which a request is refused.
 MAX_ATTEMPTS = 4
@@ -72,7 +72,7 @@
     message: str
 
 
-class Lookup:
+class ServiceCall:
     """Serves one call to a plain service from admission to its outcome."""
 
     def __init__(self, context: GatewayContext, admitted: Admitted, domain: str) -> None:
--- a/deckcourse/gateway/stream.py
+++ b/deckcourse/gateway/stream.py
@@ -92,7 +92,7 @@
         self._avoided: set[str] = set()
         self._executions = 0
         # Whether any attempt has returned events.
-        self._has_had_events = False
+        self._has_received_events = False
         self._retries = StreamRetries(context, admitted)
         self._last_event = admitted.caller.last_event
         self._last_progress_at = trio.current_time()
@@ -118,7 +118,7 @@
         attempts = 0
         while True:
             refusal = refuse_quarantined(self._context, self._admitted, self._executions > 0)
-            if refusal is not None and not self._has_had_events:
+            if refusal is not None and not self._has_received_events:
                 return refusal
             if (
                 attempts
@@ -160,7 +160,7 @@
                 break
             if not self._executions and attempts == MAX_ATTEMPTS:
                 break
-            if isinstance(result, _Broken) and not self._has_had_events:
+            if isinstance(result, _Broken) and not self._has_received_events:
                 first = path.parts[0].instance
                 await self._context.crashes.wait_behind_others(self._admitted, first)
         return self._give_up(last_failure, NotRunReason.UPSTREAM_REFUSED, FULL_RETRY_AFTER_SECONDS)
@@ -307,7 +307,7 @@
     async def _report_interrupted(self, stream: ActiveStream) -> None:
         """Report an interrupted execution unless events came, which clear the request."""
         upstream = self._context.upstreams.last_known(stream.path.parts[0].instance)
-        if upstream is not None and not stream.has_events and not self._has_had_events:
+        if upstream is not None and not stream.has_events and not self._has_received_events:
             await self._context.crashes.note_broken(self._admitted, upstream, stream.execution)
 
     async def _exchange(
@@ -328,7 +328,7 @@
         stream.progress_at = trio.current_time()
         self._executions += 1
         stream.execution = self._context.crashes.begin_run(admitted, dispatch.instance)
-        self._retries.note_run(dispatch.instance)
+        self._retries.note_execution(dispatch.instance)
         self._choice.watch.note_sent(dispatch.instance)
         try:
             with stream.interruptible():
@@ -358,14 +358,14 @@
 
     def _on_refusal(self, stream: ActiveStream, status: int, facts: ReplyFacts) -> _AttemptResult:
         """Record which upstream of the path refused: it is full, lost or lacks its layers."""
-        refusing = stream.path.parts[0].instance
+        refusing_instance = stream.path.parts[0].instance
         if facts.at_fault:
             row = self._context.upstreams.at_address(facts.at_fault, stream.service)
-            refusing = row.instance if row is not None else refusing
-        self._avoided.add(refusing)
-        self._choice.note_full(refusing)
+            refusing_instance = row.instance if row is not None else refusing_instance
+        self._avoided.add(refusing_instance)
+        self._choice.note_full(refusing_instance)
         self._context.count(f"retry.{RetryReason.REFUSED}.{status}")
-        return _Refused(RetryReason.REFUSED, f"{refusing} answered {status}")
+        return _Refused(RetryReason.REFUSED, f"{refusing_instance} answered {status}")
 
     async def _relay(self, reply: UpstreamReply, stream: ActiveStream) -> _AttemptResult:
         reader = EventReader(self._last_event)
@@ -393,8 +393,8 @@
 
     def _record_events(self, stream: ActiveStream) -> None:
         """Record that events came, which clears the request of crashing its upstreams."""
-        if not self._has_had_events:
-            self._has_had_events = True
+        if not self._has_received_events:
+            self._has_received_events = True
             first = stream.path.parts[0].instance
             self._context.crashes.note_ran(self._admitted, first)
             self._context.crashes.end_run(self._admitted, first)
--- a/deckcourse/gateway/stream_retries.py
+++ b/deckcourse/gateway/stream_retries.py
@@ -42,7 +42,7 @@
         """Add the stream's first attempt to the retry budget."""
         self._budget.earn()
 
-    def note_run(self, instance: str) -> None:
+    def note_execution(self, instance: str) -> None:
         """Record that an upstream may execute the stream."""
         self._executed_by.add(instance)
 
--- a/features/mutants_gateway.py
+++ b/features/mutants_gateway.py
@@ -25,7 +25,7 @@
 from deckcourse.gateway.events import Event, EventReader
 from deckcourse.gateway.known_starts import KnownStarts
 from deckcourse.gateway.lapse_check import LapseCheck
-from deckcourse.gateway.lookup import Lookup
+from deckcourse.gateway.lookup import ServiceCall
 from deckcourse.gateway.node import GatewayNode
 from deckcourse.gateway.path_choice import PathChoice
 from deckcourse.gateway.return_schedule import ReturnSchedule
@@ -96,11 +96,11 @@
 
 
 def repeats_everything():
-    Lookup._may_execute_again = lambda self: True
+    ServiceCall._may_execute_again = lambda self: True
 
 
 def never_repeats():
-    Lookup._may_execute_again = lambda self: False
+    ServiceCall._may_execute_again = lambda self: False
 
 
 def resumes_everything():
