--- a/features/late_answers.feature
+++ b/features/late_answers.feature
@@ -1,7 +1,7 @@
-Feature: An answer that comes a second time, and late, is taken for no other call's
+Feature: A response that is repeated late is never taken for the response to another call
 
-  Scenario: A caller gets its own answer or none, whatever came late before it
-    When two callers follow one another on a kept connection and the first one's answer comes again
+  Scenario: A caller gets its own response or none, whatever was repeated before it
+    When two callers in turn use one kept-alive connection and the first one's response is repeated
       | first   | second  | when                        |
       | stream  | stream  | before the next request     |
       | stream  | stream  | with the next request       |
@@ -17,11 +17,11 @@
       | once    | again   | 20 ms after the next request |
       | again   | once    | 20 ms after the next request |
       | again   | again   | 20 ms after the next request |
-    Then each time the second caller got its own whole answer, or was told that it may have run
-    And each time no call that must not run twice ran twice
+    Then each time the second caller got its own complete response, or learned that it may have run
+    And each time no call that may run only once ran twice
 
-  Scenario: A whole copy in front of an answer costs the call behind it nothing
-    When two callers follow one another on a kept connection and the first one's answer comes again
+  Scenario: A complete copy before a response doesn't fail the next call
+    When two callers in turn use one kept-alive connection and the first one's response is repeated
       | first   | second  | when                         |
       | stream  | stream  | with the next request        |
       | stream  | fragile | with the next request        |
@@ -29,10 +29,10 @@
       | once    | once    | 20 ms after the next request |
       | once    | again   | 20 ms after the next request |
       | again   | once    | 20 ms after the next request |
-    Then each time the second caller got its own whole answer, in one run and on that connection
+    Then each time the second caller got its own complete response, in one run and on that connection
 
-  Scenario: What begins like a copy and isn't whole is not waited for
-    When a call meets on a kept connection
+  Scenario: The rest of an incomplete copy is not waited for
+    When a call receives on a kept-alive connection
       | late                     | route   |
       | half a copy              | once    |
       | half a copy              | again   |
@@ -41,12 +41,12 @@
       | a copy that says close   | again   |
       | a copy without a length  | once    |
       | a copy without a length  | again   |
-    Then each time it was repeated if it may be, else told that it may have run
-    And each time that was known within 0.15 seconds, or 0.3 with another run
+    Then each time it was retried if allowed, else the caller learned that it may have run
+    And each time the outcome was known within 0.15 seconds, or 0.3 with another run
 
-  Scenario Outline: A request that is tried again never takes an earlier refusal for its answer: <case>
-    Given chains whose first upstream refuses a request once for <culprit> and then runs it
-    When a caller asks for a <route> stream and the refusal comes again <when>
+  Scenario Outline: A retried request never takes an earlier refusal for its response: <case>
+    Given chains whose first upstream refuses a request once because of <culprit> and then runs it
+    When a caller asks for a <route> stream and the refusal is repeated <when>
     Then the caller got every event once
     And the request ran once, at <where>
 
@@ -57,23 +57,23 @@
       | and may be resumed        | its next | stream  | with the next request       | x1    |
       | at another upstream       | itself   | fragile | with the next request       | y1    |
 
-  Scenario: Two callers whose requests have the same id never get each other's answer
-    When two callers with the same id call one after the other and the first answer comes again
+  Scenario: Two callers whose requests have the same id never get each other's response
+    When two callers with the same id call one after the other and the first response is repeated
       | when                         |
       | before the next request      |
       | with the next request        |
       | 20 ms after the next request |
-    Then each time the second caller got the answer to its own body
+    Then each time the second caller got the response to its own body
 
-  Scenario: A caller without an id never gets what an upstream told the gateway
-    When the gateway asks for a report that comes again with the next request of a caller
+  Scenario: A caller without an id never gets an upstream's response to the gateway's own query
+    When the gateway queries a report that is repeated with the next request of a caller
       | ids |
       | yes |
       | no  |
-    Then each time the caller without an id got its own answer, or was told that it may have run
+    Then each time the caller without an id got its own response, or learned that it may have run
 
-  Scenario: A control call believes no answer to another call
-    When an upstream's answer to one call comes again in the place of the next one's
+  Scenario: A control call accepts no response to another call
+    When an upstream's response to one call is repeated in place of the next one
       | ids | first          | next        | believed                   |
       | yes | order taken    | order       | conflict, unanswered       |
       | yes | order held     | order       | conflict, unanswered       |
@@ -97,9 +97,9 @@
       | no  | caller's call  | pulse       | alive at pace 3            |
       | no  | nameless call  | order       | conflict, unanswered       |
       | no  | nameless call  | report      | 7 orders, unanswered       |
-    Then each time what is believed is true, or that there was no answer
+    Then each time the accepted answer is correct, or the call counts as unanswered
 
-  Scenario: Control calls go on sharing connections
+  Scenario: Control calls keep reusing connections
     Then this many connections are opened for calls one after the other
       | ids | calls                                      | opened |
       | yes | report, report, report, report             | 1      |
@@ -111,8 +111,8 @@
       | no  | report, order, report, order               | 2      |
     And 30 moves one after the other leave at most 3 connections open
 
-  Scenario: What comes late and is no answer ends the call that meets it, as one that may have run
-    When a call meets on a kept connection
+  Scenario: Late bytes that aren't a response fail the next call, which may have run
+    When a call receives on a kept-alive connection
       | late                          | route   |
       | bytes that are no head        | once    |
       | bytes that are no head        | again   |
@@ -126,10 +126,10 @@
       | one that breaks off earlier   | again   |
       | a switch of protocols         | once    |
       | a switch of protocols         | again   |
-    Then each time it was repeated if it may be, else told that it may have run
+    Then each time it was retried if allowed, else the caller learned that it may have run
 
-  Scenario: Informational answers are passed over, late ones with an equal id too
-    When a call meets on a kept connection
+  Scenario: Informational responses are skipped, late ones with an equal id too
+    When a call receives on a kept-alive connection
       | late                          | route   |
       | an informational answer       | once    |
       | an informational answer       | stream  |
--- a/features/processes_streams.feature
+++ b/features/processes_streams.feature
@@ -8,7 +8,7 @@
     And the public client gets 20 streamed tokens whole
 
   @whole-answer @layers-once
-  Scenario Outline: A stage gets <signal> in the middle of a stream: <stage>
+  Scenario Outline: A stage receives <signal> in the middle of a stream: <stage>
     Given a site of real processes
     When a stream of 40 tokens runs at entry-1
     And the <stage> stage is sent <signal> after 10 tokens
--- a/features/shared_limits.feature
+++ b/features/shared_limits.feature
@@ -1,8 +1,8 @@
-Feature: What processes may do together, without a word between them
+Feature: Limits shared by processes that don't communicate about them
 
-  Scenario Outline: The part of all traffic that a process carries: <case>
+  Scenario Outline: A process's share of all traffic: <case>
     Given measurements of <own> own requests among <all>
-    Then the process takes its part for <least> to <most>
+    Then the process estimates its share at <least> to <most>
 
     Examples:
       | case                   | own                 | all                 | least | most |
@@ -14,13 +14,13 @@
       | half of the rest left  | 5 10 10 10 10 10 10 | 50 50 50 50 50 50 50 | 0.12  | 0.15 |
       | more than what is told | 90                  | 60                  | 0.9   | 1    |
 
-  Scenario: Nothing is concluded from upstreams that have not answered yet
-    Given a process that asks upstreams which answer after 0.1 seconds
-    Then its part of the traffic is unknown after 0.05 seconds and known after 0.6 seconds
+  Scenario: No share is derived from upstreams that have not answered yet
+    Given a process that queries upstreams which answer after 0.1 seconds
+    Then its share of the traffic is unknown after 0.05 seconds and known after 0.6 seconds
 
-  Scenario Outline: All retries together stay within the bound: <processes> processes, <traffic>
+  Scenario Outline: All retries together stay within the limit: <processes> processes, <traffic>
     Given <processes> processes that share 100 requests a second <traffic>
-    When every try fails for 40 seconds
+    When every attempt fails for 40 seconds
     Then no 10 seconds have more retries than 0.2 of the requests and 200
     And no process waits longer than <longest> seconds for a retry
 
@@ -31,8 +31,8 @@
       | 6         | unevenly | 6       |
       | 60        | evenly   | 8       |
 
-  Scenario Outline: An allowance grows with the share that becomes known soon after its start: <case>
-    Given an allowance that began with a share of 0.05 and a slack of 200
+  Scenario Outline: An allowance grows with the share that is measured soon after its start: <case>
+    Given an allowance that started with a share of 0.05 and a slack of 200
     When its share becomes <share> after <seconds> seconds
     Then <retries> retries can be made at once, a third of the largest balance kept
 
@@ -43,9 +43,9 @@
       | less than assumed   | 0.02  | 0.5     | 1       |
       | too late            | 0.3   | 9.0     | 0       |
 
-  Scenario Outline: Retries that are kept for those that need them more are not spent by others
-    Given an allowance of 20 retries at once
-    Then with a part of <kept> kept others get <others> and those that need them get <rest>
+  Scenario Outline: Retries that are reserved for requests that need them more are not spent by others
+    Given an allowance for a burst of 20 retries
+    Then with a share of <kept> reserved others get <others> and those that need them get <rest>
 
     Examples:
       | kept | others | rest |
@@ -53,11 +53,11 @@
       | 0.5  | 10     | 10   |
       | 0    | 20     | 0    |
 
-  Scenario Outline: Refused callers come back in turn: <case>
+  Scenario Outline: Refused callers return in turn: <case>
     Given a process that answers <rate> requests a second
-    When <count> requests are refused at once, to come back after <least> seconds
-    Then the first comes back after <least> seconds and the last between <early> and <late> seconds
-    And no second has more than <most> of them
+    When <count> requests are refused at once, with a retry-after of at least <least> seconds
+    Then the first may retry after <least> seconds and the last between <early> and <late> seconds
+    And no second has more than <most> of these retries
 
     Examples:
       | case                  | rate | count | least | early | late | most |
--- a/features/steps/gateway_fault_steps.py
+++ b/features/steps/gateway_fault_steps.py
@@ -19,7 +19,7 @@
     ask_while(context, count, fail)
 
 
-@when("the {part} upstream's row goes after {count:d} events and it then {fault}")
+@when("the {part} upstream's row is removed after {count:d} events and it then {fault}")
 def row_goes(context, part, count, fault):
     async def leave(site):
         runner = site.runners["x1" if part == "first" else "x2"]
@@ -35,7 +35,8 @@
 
 
 @when(
-    "streams are asked for every {gap:g} seconds for {long:g} seconds while the first one is full"
+    "streams are requested every {gap:g} seconds for {long:g} seconds while the first "
+    "upstream is full"
 )
 def asked_while_full(context, gap, long):
     context.all = []
@@ -63,7 +64,7 @@
     assert 0 < context.site.refusals <= most, context.site.refusals
 
 
-@when("the second upstream holds streams up after {count:d} events though it answers")
+@when("the second upstream blocks streams after {count:d} events but answers probes")
 def holds_up(context, count):
     async def hold(site):
         site.runners["x2"].holds_up = True
@@ -77,7 +78,8 @@
 
 
 @when(
-    "the first upstream is silent for {long:g} seconds after {count:d} events and no retry is left"
+    "the first upstream is silent for {long:g} seconds after {count:d} events and the "
+    "retry budget is spent"
 )
 def silent_without_retry(context, long, count):
     async def fall_silent(site):
@@ -117,14 +119,14 @@
     context.site.play(story)
 
 
-@then("the suspicion has ended and no upstream was told to let go")
+@then("the suspicion has ended and no upstream was ordered to unload its layers")
 def suspicion_ended(context):
     assert "suspicion-ended" in [decision for decision, _ in context.site.lines]
     assert context.suspect == []
     assert not any(each.let_go_at_once for each in context.site.runners.values())
 
 
-@when("the second upstream of a stream dies while the other chain works on {running:d} requests")
+@when("the second upstream of a stream dies while the other chain executes {running:d} requests")
 def dies_while_other_works(context, running):
     # Another upstream of domain x: paths from there to the other domain are looked for.
     context.site.add("x3", "llm", "x", 0, 2)
--- a/features/steps/gateway_healing_steps.py
+++ b/features/steps/gateway_healing_steps.py
@@ -25,17 +25,17 @@
     context.site.play(story)
 
 
-@when("an upstream of domain x is gone for good")
+@when("an upstream of domain x is lost permanently")
 def gone_for_good(context):
     play_loss(context, "x2")
 
 
-@when("an upstream of domain x is gone for good while the process is stopping")
+@when("an upstream of domain x is lost permanently while the process is stopping")
 def gone_while_stopping(context):
     play_loss(context, "x2", stopping=True)
 
 
-@given("upstreams of domain x with room for 2 layers each, one of which others could do without")
+@given("upstreams of domain x with room for 2 layers each, one of them redundant")
 def small_chain(context):
     context.site = GatewayWorld()
     engine = context.site.config["services"][0]["engine"]
@@ -44,12 +44,12 @@
         context.site.add(name, "llm", "x", first, first + 2)
 
 
-@when("the first of them is gone for good")
+@when("the first of them is lost permanently")
 def first_gone(context):
     play_loss(context, "x1")
 
 
-@then("the one that is not needed is ordered to the gap, and to let go at once")
+@then("a redundant one is ordered to load the gap, and to unload its layers at once")
 def moved_at_once(context):
     site = context.site
     assert len(site.orders) == 1 and site.orders[0][1:] == (0, 2), site.orders
@@ -57,12 +57,12 @@
     assert name in ("x3", "x4") and site.runners[name].let_go_at_once
 
 
-@then("its layers are ordered from its neighbours, each order within memory")
+@then("its neighbours are ordered to load its layers, each order within memory")
 def ordered(context):
     assert context.site.orders == [("x1", 0, LAYERS)], context.site.orders
 
 
-@when("the rows have been there for {seconds:d} seconds")
+@when("the rows have been listed for {seconds:d} seconds")
 def pass_seconds(context, seconds):
     async def story(site):
         await trio.sleep(seconds)
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -18,7 +18,7 @@
     context.site.config = None
 
 
-@given("two chains of runners, whose first one breaks off inside its 5th event")
+@given("two chains of runners, the first of which fails within its 5th event")
 def chains_breaking(context):
     two_chains(context)
     context.site.runners["x1"].behaviour = "breaks"
@@ -57,7 +57,7 @@
     context.site.play(story)
 
 
-@then("the runner saw the request as it was sent, with the account and without the key")
+@then("the runner received the request as it was sent, with the account and without the key")
 def saw_request(context):
     (run,) = context.site.runs
     assert run.target == "/stream/a%2Fb?q=%41" and run.body == b'{"a": 1}'
@@ -97,7 +97,7 @@
             assert at == LAYERS
 
 
-@then("streams run in domain x, and in domain y once x lost a layer")
+@then("streams run in domain x, and in domain y once x has lost a layer")
 def own_domain_first(context):
     nobody_heals(context)
 
@@ -129,7 +129,7 @@
     context.site.play(story)
 
 
-@then("the caller gets {status:d} and {runs:d} runs are recorded")
+@then("the caller gets {status:d} and {runs:d} executions are recorded")
 def got_status(context, status, runs):
     got = context.got
     assert got.status == status and got.whole, (got, context.site.lines)
@@ -161,13 +161,16 @@
     assert not context.site.runs
 
 
-@then("the caller gets {status:d} at once, with a time to come back")
+@then("the caller gets {status:d} at once, with a retry-after value")
 def refused_for_now(context, status):
     refused(context, status)
     assert float(context.site.header(context.got, "retry-after")) > 0
 
 
-@then("a key opens streams 2 seconds after the store went away, and nothing 4.6 seconds after")
+@then(
+    "a key is accepted 2 seconds after an outage of the store began, and refused 4.6 "
+    "seconds after"
+)
 def fails_closed(context):
     async def story(site):
         site.store.away = True
@@ -185,7 +188,7 @@
     assert [each.request for each in context.site.runs] == ["r1", "r3"]
 
 
-@then("after the key is taken away a caller gets 401")
+@then("after the key is removed a caller gets 401")
 def revoked(context):
     async def story(site):
         site.store.put("op", "config", default_config(2, tenants=[{"name": "acme"}]))
@@ -195,7 +198,7 @@
     context.site.play(story)
 
 
-@then("version 1 written after version 3 is not taken")
+@then("version 1 written after version 3 is not applied")
 def never_back(context):
     async def story(site):
         for version, tenants in ((3, []), (1, [{"name": "acme", "apiKeys": ["other"]}])):
@@ -206,7 +209,7 @@
     context.site.play(story)
 
 
-@when("a caller leaves in the middle of a stream")
+@when("a caller disconnects in the middle of a stream")
 def leaves(context):
     async def story(site):
         await site.ask(leave_after=6 * EVENT_SECONDS)
@@ -215,13 +218,13 @@
     context.site.play(story)
 
 
-@then("the run was cancelled and no other began")
+@then("the execution was cancelled and no other was started")
 def cancelled(context):
     (run,) = context.site.runs
     assert run.ended == "cancelled" and len(run.events) < 9, run
 
 
-@then("a stream takes the other domain once the first upstream says that it leaves")
+@then("a stream runs in the other domain once the first upstream's row says that it is leaving")
 def leaving(context):
     nobody_heals(context)
 
@@ -250,7 +253,7 @@
     context.site.play(story)
 
 
-@given("two chains of runners, each with {slots:d} places and memory for {count:d} usual requests")
+@given("two chains of runners, each with {slots:d} slots and memory for {count:d} typical requests")
 def chains_with_memory(context, slots, count):
     two_chains(context)
     engine = context.site.config["services"][0]["engine"]
@@ -262,7 +265,7 @@
         runner.slots = slots
 
 
-@when("each first upstream works on {running:d} requests and {queued:d} wait")
+@when("each first upstream executes {running:d} requests and {queued:d} are queued")
 def busy_firsts(context, running, queued):
     for name in ("x1", "y1"):
         context.site.runners[name].running = running
@@ -279,13 +282,16 @@
         context.site.runners[name].kind = "slow"
 
 
-@when("the first upstream of its own domain works on {running:d} requests and {queued:d} wait")
+@when(
+    "the first upstream of its own domain executes {running:d} requests and {queued:d} are "
+    "queued"
+)
 def busy_first(context, running, queued):
     context.site.runners["x1"].running = running
     context.site.runners["x1"].queued = queued
 
 
-@then("a stream, asked after a moment, gets {status:d}")
+@then("a stream requested a moment later gets {status:d}")
 def asked_after_a_moment(context, status):
     async def story(site):
         await site.ask(name="r1")
--- a/features/steps/interruption_steps.py
+++ b/features/steps/interruption_steps.py
@@ -64,7 +64,7 @@
     return site
 
 
-@when("a stream is taken from its first upstream")
+@when("a stream is detached from its first upstream")
 def taken_early(context):
     context.plays = []
     for row in context.table:
@@ -72,7 +72,7 @@
         context.plays.append((row, ask_taken_early(context.site, row["when"])))
 
 
-@then("each time the stream was taken and its caller got every event once")
+@then("each time the stream was detached and its caller got every event once")
 def taken_and_whole(context):
     for row, site in context.plays:
         taken = [fields for kind, fields in site.lines if kind == "try-interrupted"]
@@ -116,7 +116,7 @@
     return learned
 
 
-@when("a process stands still for 0.2 seconds while it asks an upstream for")
+@when("a process is paused for 0.2 seconds while it queries an upstream for")
 def stands_still(context):
     context.learned = {
         row["what"]: virtually(lambda row=row: ask_while_standing_still(row["what"]))
@@ -124,7 +124,7 @@
     }
 
 
-@then("each time it has the answer")
+@then("each time it gets the answer")
 def has_answer(context):
     pulse = context.learned.pop("its pulse", None)
     missing = [what for what, learned in context.learned.items() if learned is None]
@@ -132,7 +132,10 @@
     assert pulse is not None and pulse.pulse is Pulse.ALIVE, pulse
 
 
-@when("a stream is taken away while its caller holds a write up, and its second upstream is lost")
+@when(
+    "a stream is detached while a write to its caller is blocked, and its second upstream "
+    "is lost"
+)
 def taken_while_held_up(context):
     context.site.add("x3", "llm", "x", 4, LAYERS)
 
@@ -147,7 +150,7 @@
     assert context.got.whole, context.got
 
 
-@then("no upstream got another path for it")
+@then("no upstream was sent another path for it")
 def not_moved(context):
     moves = [fields for kind, fields in context.site.lines if kind == "move"]
     assert not moves, moves
@@ -191,7 +194,7 @@
     allowance.spend, allowance.give_back = spend_counted, give_back_counted
 
 
-@when("an interruption meets the end of a stream")
+@when("an interruption coincides with the end of a stream")
 def meets_end(context):
     context.plays = []
     for row in context.table:
--- a/features/steps/late_answer_steps.py
+++ b/features/steps/late_answer_steps.py
@@ -91,7 +91,7 @@
     return got.body == f"answer to {name}".encode()
 
 
-@when("two callers follow one another on a kept connection and the first one's answer comes again")
+@when("two callers in turn use one kept-alive connection and the first one's response is repeated")
 def two_follow(context):
     context.plays = []
     for row in context.table:
@@ -103,7 +103,7 @@
         context.plays.append((row["second"], site))
 
 
-@then("each time the second caller got its own whole answer, or was told that it may have run")
+@then("each time the second caller got its own complete response, or learned that it may have run")
 def own_or_may_have_run(context):
     for route, site in context.plays:
         got = site.got
@@ -117,14 +117,17 @@
             assert route not in REPEATABLE and got.status == MAY_HAVE_RUN, (route, got)
 
 
-@then("each time no call that must not run twice ran twice")
+@then("each time no call that may run only once ran twice")
 def none_twice(context):
     for route, site in context.plays:
         runs = [each for each in site.runs if each.request == "r2"]
         assert len(runs) == 1 or (route in REPEATABLE and len(runs) == 2), (route, site.runs)
 
 
-@then("each time the second caller got its own whole answer, in one run and on that connection")
+@then(
+    "each time the second caller got its own complete response, in one run and on that "
+    "connection"
+)
 def own_in_one_run(context):
     wrong = []
     for route, site in context.plays:
@@ -134,7 +137,7 @@
     assert not wrong, wrong
 
 
-@then("each time that was known within {seconds:g} seconds, or {longer:g} with another run")
+@then("each time the outcome was known within {seconds:g} seconds, or {longer:g} with another run")
 def known_soon(context, seconds, longer):
     for late, route, site in context.plays:
         # A stream takes as long as its events; it is told by them when it began.
@@ -162,7 +165,7 @@
     return refused
 
 
-@given("chains whose first upstream refuses a request once for {part} and then runs it")
+@given("chains whose first upstream refuses a request once because of {part} and then runs it")
 def refuses_once(context, part):
     two_chains(context)
     site = context.site
@@ -172,7 +175,7 @@
     context.refused = refusing_once(site.runners["x1"], ("itself", "its next").index(part))
 
 
-@when("a caller asks for a {route} stream and the refusal comes again {when}")
+@when("a caller asks for a {route} stream and the refusal is repeated {when}")
 def refusal_again(context, route, when):
     stutter = Stutter(once(copy_of), seconds_of(when), is_callers)
     site_with(stutter, context.site, ("x1",))
@@ -194,7 +197,7 @@
     await exchange.whole(200, answer, b"answer to " + run.body)
 
 
-@when("two callers with the same id call one after the other and the first answer comes again")
+@when("two callers with the same id call one after the other and the first response is repeated")
 def same_id(context):
     context.plays = []
     for row in context.table:
@@ -213,7 +216,7 @@
         context.plays.append((row["when"], site.got))
 
 
-@then("each time the second caller got the answer to its own body")
+@then("each time the second caller got the response to its own body")
 def own_body(context):
     for when_, got in context.plays:
         assert (got.status, got.body) == (200, b"answer to second"), (when_, got)
@@ -237,7 +240,7 @@
     return handler
 
 
-@when("the gateway asks for a report that comes again with the next request of a caller")
+@when("the gateway queries a report that is repeated with the next request of a caller")
 def report_before_nameless(context):
     context.plays = []
     for row in context.table:
@@ -256,7 +259,7 @@
         context.plays.append((row["ids"], site.got))
 
 
-@then("each time the caller without an id got its own answer, or was told that it may have run")
+@then("each time the caller without an id got its own response, or learned that it may have run")
 def nameless_own(context):
     for ids, got in context.plays:
         assert got.status == MAY_HAVE_RUN or got.body == b"answer to ", (ids, got)
@@ -349,7 +352,7 @@
 FIRST = {"order taken": "order", "order held": "order"}
 
 
-@when("an upstream's answer to one call comes again in the place of the next one's")
+@when("an upstream's response to one call is repeated in place of the next one")
 def control_again(context):
     context.plays = []
     for row in context.table:
@@ -370,7 +373,7 @@
         context.plays.append((row.cells, believed, row["believed"].split(", ")))
 
 
-@then("each time what is believed is true, or that there was no answer")
+@then("each time the accepted answer is correct, or the call counts as unanswered")
 def believed(context):
     wrong = [(cells, got) for cells, got, allowed in context.plays if got not in allowed]
     assert not wrong, wrong
@@ -421,7 +424,7 @@
 }
 
 
-@when("a call meets on a kept connection")
+@when("a call receives on a kept-alive connection")
 def call_meets(context):
     context.plays = []
     for row in context.table:
@@ -433,7 +436,7 @@
         context.plays.append((row["late"], route, site))
 
 
-@then("each time it was repeated if it may be, else told that it may have run")
+@then("each time it was retried if allowed, else the caller learned that it may have run")
 def repeated_or_told(context):
     wrong = []
     for late, route, site in context.plays:
--- a/features/steps/shared_limit_steps.py
+++ b/features/steps/shared_limit_steps.py
@@ -46,7 +46,7 @@
         context.traffic.note(mine, everybodys)
 
 
-@then("the process takes its part for {least:g} to {most:g}")
+@then("the process estimates its share at {least:g} to {most:g}")
 def part_taken(context, least, most):
     assert least <= context.traffic.share <= most, context.traffic.share
 
@@ -62,7 +62,7 @@
     ]
 
 
-@when("every try fails for {seconds:d} seconds")
+@when("every attempt fails for {seconds:d} seconds")
 def every_try_fails(context, seconds):
     random = Random(1)
     names = range(len(context.weights))
@@ -98,7 +98,7 @@
     assert context.longest <= seconds, context.longest
 
 
-@given("an allowance of {count:d} retries at once")
+@given("an allowance for a burst of {count:d} retries")
 def allowance(context, count):
     clock = Clock()
     limits = RetryLimits(slack=count / BURST_SHARE)
@@ -106,7 +106,10 @@
     clock.now = 1000.0
 
 
-@then("with a part of {kept:g} kept others get {others:d} and those that need them get {rest:d}")
+@then(
+    "with a share of {kept:g} reserved others get {others:d} and those that need them get "
+    "{rest:d}"
+)
 def kept_retries(context, kept, others, rest):
     assert sum(context.allowance.spend(kept) for _ in range(30)) == others
     assert sum(context.allowance.spend() for _ in range(30)) == rest
@@ -121,21 +124,21 @@
         context.schedule.note_answered()
 
 
-@when("{count:d} requests are refused at once, to come back after {least:g} seconds")
+@when("{count:d} requests are refused at once, with a retry-after of at least {least:g} seconds")
 def refused_at_once(context, count, least):
     context.times = [context.schedule.take_slot(least) for _ in range(count)]
 
 
 @then(
-    "the first comes back after {least:g} seconds and the last between {early:g} and {late:g}"
-    " seconds"
+    "the first may retry after {least:g} seconds and the last between {early:g} and "
+    "{late:g} seconds"
 )
 def coming_back(context, least, early, late):
     assert context.times[0] == least, context.times
     assert early <= context.times[-1] <= late, context.times
 
 
-@then("no second has more than {most:d} of them")
+@then("no second has more than {most:d} of these retries")
 def spread_out(context, most):
     count = max(sum(start <= each < start + 1 for each in context.times) for start in context.times)
     assert count <= most, sorted(context.times)
@@ -152,12 +155,15 @@
         return LoadReport(running=30, queued=0, cache_used=0, cache_total=1)
 
 
-@given("a process that asks upstreams which answer after {seconds:g} seconds")
+@given("a process that queries upstreams which answer after {seconds:g} seconds")
 def asks_late(context, seconds):
     context.control = LateControl(seconds)
 
 
-@then("its part of the traffic is unknown after {early:g} seconds and known after {late:g} seconds")
+@then(
+    "its share of the traffic is unknown after {early:g} seconds and known after {late:g} "
+    "seconds"
+)
 def known_later(context, early, late):
     upstream = Upstream("u", "s", "u:1", "x")
 
@@ -180,7 +186,7 @@
     trio.run(story, clock=MockClock(autojump_threshold=0))
 
 
-@given("an allowance that began with a share of {share:g} and a slack of {slack:g}")
+@given("an allowance that started with a share of {share:g} and a slack of {slack:g}")
 def began_with(context, share, slack):
     context.clock = Clock()
     context.share = share
--- a/features/steps/stall_steps.py
+++ b/features/steps/stall_steps.py
@@ -37,7 +37,7 @@
     )
 
 
-@given("a stream over a, b and c that stands still")
+@given("a stalled stream over a, b and c")
 def standing(context):
     context.streams = [stream_over("abc", 1)]
 
@@ -48,7 +48,7 @@
     context.goes_on = state == "goes on"
 
 
-@when("the streams are watched for {seconds:g} seconds")
+@when("the streams are monitored for {seconds:g} seconds")
 def watched(context, seconds):
     context.control = NotingControl()
 
@@ -78,7 +78,7 @@
     trio.run(story, clock=MockClock(autojump_threshold=0))
 
 
-@then("the upstreams asked directly are {names}")
+@then("the probed upstreams are {names}")
 def asked_directly(context, names):
     wanted = set() if names == "none" else {each.strip() for each in names.split(",")}
     assert context.control.asked == wanted, context.control.asked
--- a/features/steps/torn_write_steps.py
+++ b/features/steps/torn_write_steps.py
@@ -63,7 +63,7 @@
     return site.got, site.lines
 
 
-@when("a stream is taken from its upstream in the tick in which it brings")
+@when("a stream is detached from its upstream in the scheduler tick in which it receives")
 def taken_in_a_tick(context):
     context.plays = []
     for row in context.table:
@@ -82,7 +82,7 @@
     assert not wrong, wrong
 
 
-@then("each time the log tells of the interruption and that nothing was torn")
+@then("each time the log records the interruption and that no write was torn")
 def told(context):
     for what, _, lines in context.plays:
         told = [fields for kind, fields in lines if kind == "try-interrupted"]
@@ -114,12 +114,12 @@
         return await read_until_end(near)
 
 
-@given("a caller whose connection takes half of a write and then nothing")
+@given("a caller whose connection accepts half of a write and then blocks")
 def half_way(context):
     context.reads = {}
 
 
-@when("a handler goes on after the writing was cut in, with another request behind")
+@when("a handler continues after a write was cancelled, with another request pipelined, in")
 def cut_in_writing(context):
     context.asked = {}
     for row in context.table:
@@ -147,7 +147,7 @@
         await exchange.finish()
 
 
-@then("each time what the caller reads is the beginning of one answer, and the connection's end")
+@then("each time the caller reads the beginning of one response, and then the connection's end")
 def beginning_of_one(context):
     before = {"an event": HEAD, "the end": HEAD + CHUNK}
     for part, data in context.reads.items():
@@ -157,7 +157,7 @@
         assert context.asked[part] == 1, (part, context.asked)
 
 
-@when("a handler answers 504 after it was cut before it wrote")
+@when("a handler responds with 504 after it was cancelled before it wrote")
 def cut_before(context):
     context.reads = {}
     for row in context.table:
@@ -180,7 +180,10 @@
         assert statuses == [b"504", b"504"], (part, data)
 
 
-@when("a stream is taken from its upstream while its caller takes half of an event and then pauses")
+@when(
+    "a stream is detached from its upstream while its caller reads half of an event and "
+    "then pauses"
+)
 def taken_while_held_up(context):
     ask_held_up(context)
     assert [kind for kind, _ in context.site.lines if kind == "try-interrupted"]
@@ -212,7 +215,7 @@
     return end
 
 
-@when("a handler leaves off over TCP")
+@when("a handler returns over TCP")
 def leaves_off(context):
     context.ends = [
         (row["version"], row["how"], row["end"], trio.run(end_over_tcp, row["version"], row["how"]))
@@ -220,7 +223,7 @@
     ]
 
 
-@then("each time the caller's connection ended so")
+@then("each time the caller's connection ended as expected")
 def ended_so(context):
     wrong = [each for each in context.ends if each[2] != each[3]]
     assert not wrong, wrong
--- a/features/whole_answer.feature
+++ b/features/whole_answer.feature
@@ -1,13 +1,13 @@
 @whole-answer @layers-once
-Feature: Every caller gets the whole answer to its own request, each layer run once for each token
+Feature: Every caller gets the complete response to its own request, with each layer run once per token
 
-  Scenario: A streamed answer through three stages
+  Scenario: A streamed response through three stages
     When fitter asks for 12 tokens
     Then fitter has the whole answer
     And fitter was served in 1 attempt
     And everything that must hold holds
 
-  Scenario: Many callers at once get each their own answer
+  Scenario: Many concurrent callers each get their own response
     When 20 callers ask for 8 tokens at once
     Then every caller has the whole answer
     And everything that must hold holds
@@ -24,14 +24,14 @@
       | cut   |
       | slow  |
 
-  Scenario: A token that did not pass every stage is not taken
+  Scenario: A token that did not pass every stage is not accepted
     Given a head engine leaves a stage out of the trace
     When fitter asks for 12 tokens
     Then fitter has the whole answer
     And fitter was served in 2 attempt
     And everything that must hold holds
 
-  Scenario Outline: An engine that <does> is left at once
+  Scenario Outline: An engine that <does> is abandoned at once
     Given a head engine <does>
     When fitter asks for 12 tokens
     Then fitter has the whole answer
