--- a/features/interruption_world.py
+++ b/features/interruption_world.py
@@ -1,4 +1,4 @@
-"""What steps about interruptions share: the moment at which one comes, and a caller who pauses."""
+"""Shared by steps for interruptions: interruptions triggered by bytes, and a caller that blocks."""
 
 import trio
 from connection_world import BOUNDS
@@ -9,19 +9,19 @@
 
 
 def watch_streams(site, streams):
-    """Add to `streams` each one that the gateway watches from now on."""
+    """Add each stream that the gateway monitors from now on to `streams`."""
     monitor = site.node.gateway.context.monitor
     add = monitor.add
 
-    def add_and_keep(stream):
+    def add_and_record(stream):
         streams.add(stream)
         add(stream)
 
-    monitor.add = add_and_keep
+    monitor.add = add_and_record
 
 
-class Meeting:
-    """An interruption of all watched streams that comes once, with the bytes that are sought."""
+class TriggeredInterruption:
+    """An interruption of all monitored streams, triggered once by given bytes."""
 
     def __init__(self, why):
         self._why = why
@@ -29,55 +29,55 @@
         self.happened = False
 
     def interrupt(self):
-        """Interrupt all streams, the first time."""
+        """Interrupt all streams on the first call; do nothing on later ones."""
         if not self.happened:
             self.happened = True
             for stream in list(self.streams):
                 stream.interrupt(self._why)
 
-    def on(self, transport, sought):
-        """Return a connection on which it comes with some bytes, or before any where none are."""
-        return _MeetingTransport(transport, sought, self)
+    def on(self, transport, trigger):
+        """Return a connection on which given bytes trigger it; empty ones do before any come."""
+        return _TriggeringTransport(transport, trigger, self)
 
 
-class _MeetingTransport:
-    def __init__(self, transport, sought, meeting):
+class _TriggeringTransport:
+    def __init__(self, transport, trigger, interruption):
         self._transport = transport
-        self._sought = sought
-        self._meeting = meeting
+        self._trigger = trigger
+        self._interruption = interruption
         self.send_all = transport.send_all
         self.readable = transport.readable
         self.close = transport.close
 
-    async def receive_some(self, most):
-        if not self._sought:
-            self._meeting.interrupt()
-        data = await self._transport.receive_some(most)
-        if self._sought in data:
-            self._meeting.interrupt()
+    async def receive_some(self, max_bytes):
+        if not self._trigger:
+            self._interruption.interrupt()
+        data = await self._transport.receive_some(max_bytes)
+        if self._trigger in data:
+            self._interruption.interrupt()
         return data
 
 
-class HalfWay(trio.abc.HalfCloseableStream):
-    """A caller's connection that takes a write whole, or half of it and then pauses."""
+class HalfWriteStream(trio.abc.HalfCloseableStream):
+    """A caller's connection that accepts a write completely, or half of it and then blocks."""
 
     def __init__(self, inner):
         self._inner = inner
-        self._may_go_on = trio.Event()
-        self.stuck = False
+        self._unblocked = trio.Event()
+        self.is_blocked = False
 
-    def go_on(self):
-        """Take whole writes again, beginning with the one that is held up."""
-        self.stuck = False
-        self._may_go_on.set()
+    def unblock(self):
+        """Accept complete writes again, starting with the blocked one."""
+        self.is_blocked = False
+        self._unblocked.set()
 
     async def send_all(self, data):
-        if not self.stuck:
+        if not self.is_blocked:
             await self._inner.send_all(data)
             return
         half = len(data) // 2
         await self._inner.send_all(data[:half])
-        await self._may_go_on.wait()
+        await self._unblocked.wait()
         await self._inner.send_all(data[half:])
 
     async def receive_some(self, max_bytes=None):
@@ -94,7 +94,7 @@
 
 
 class NearEnd:
-    """The caller's side of a connection in memory."""
+    """The caller's end of an in-memory connection."""
 
     def __init__(self, stream):
         self._stream = stream
@@ -110,31 +110,31 @@
 
 
 async def nothing(streams):
-    """Change nothing of a site."""
+    """Change nothing."""
 
 
-def ask_held_up(context, change=nothing):
-    """Play one stream that is taken from its upstream while its caller takes half of an event.
+def play_blocked_caller(context, change=nothing):
+    """Play one stream that is detached from its upstream while its caller reads half of an event.
 
     Args:
-      context: has the site; gets what the caller got.
-      change: an async function of the watched streams, called while the write is held up.
+      context: holds the site; receives what the caller got.
+      change: an async function of the monitored streams, called while the write is blocked.
     """
     near, inner = trio.testing.memory_stream_pair()
-    far = HalfWay(inner)
+    far = HalfWriteStream(inner)
 
     async def story(site):
         streams = set()
         watch_streams(site, streams)
 
-        async def disturb():
+        async def interrupt_while_blocked():
             await trio.sleep(3.5 * EVENT_SECONDS)
-            far.stuck = True
+            far.is_blocked = True
             await trio.sleep(EVENT_SECONDS)
             assert all(each.interrupt(Interruption.FIRST_SILENT) for each in streams)
             await change(streams)
             await trio.sleep(EVENT_SECONDS)
-            far.go_on()
+            far.unblock()
 
         async def dial(address):
             return NearEnd(near)
@@ -142,7 +142,7 @@
         async with trio.open_nursery() as nursery:
             handle = site.node.gateway.handle
             nursery.start_soon(serve_connection, far, handle, lambda: BOUNDS, lambda: False)
-            nursery.start_soon(disturb)
+            nursery.start_soon(interrupt_while_blocked)
             context.got = await site.ask(dial=dial)
 
     context.site.play(story)
--- a/features/steps/gateway_fault_steps.py
+++ b/features/steps/gateway_fault_steps.py
@@ -1,4 +1,4 @@
-"""Steps about upstreams that fail, fall silent or refuse while streams are under way."""
+"""Steps for upstreams that fail, become silent or refuse while streams are in flight."""
 
 import trio
 from behave import then, when
@@ -128,12 +128,12 @@
 
 @when("the second upstream of a stream dies while the other chain executes {running:d} requests")
 def dies_while_other_works(context, running):
-    # Another upstream of domain x: paths from there to the other domain are looked for.
+    # Another upstream in domain x, so that paths from there to the other domain are considered.
     context.site.add("x3", "llm", "x", 0, 2)
 
     async def story(site):
         site.runners["y1"].running = running
-        # The load is asked for while requests come.
+        # The load is queried only while requests come in.
         await site.ask(name="r0")
         await trio.sleep(0.5)
         site.runs.clear()
--- a/features/steps/gateway_healing_steps.py
+++ b/features/steps/gateway_healing_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the layers of the gateway's upstreams: placement, and losses that are healed."""
+"""Steps for the layers of the gateway's upstreams: placement and healing."""
 
 import trio
 from behave import given, then, when
@@ -13,7 +13,7 @@
 
 
 def play_loss(context, instance, stopping=False):
-    """Play the death of a runner whose row goes at once, and the time in which it is healed."""
+    """Play the loss of a runner, whose row is removed at once, and the time needed to heal it."""
 
     async def story(site):
         if stopping:
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the gateway as a whole, in memory."""
+"""Steps for the gateway as a whole, with in-memory stand-ins of runners and store."""
 
 import trio
 from behave import given, then, when
--- a/features/steps/stall_steps.py
+++ b/features/steps/stall_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the watch over streams, with a control that only notes whom it asks."""
+"""Steps for the stall monitor, with a control that only records which upstreams are probed."""
 
 import trio
 from behave import given, then, when
@@ -15,17 +15,17 @@
 EVENT_SECONDS = 0.02
 
 
-class NotingControl:
-    """Every upstream is there and nothing waits; notes who was asked directly."""
+class RecordingControl:
+    """A control whose upstreams all answer and report no stall; records the probed ones."""
 
     def __init__(self):
-        self.asked = set()
+        self.probed = set()
 
     async def stalled(self, upstream):
         return StallReport({}, 1.0)
 
     async def pulse(self, upstream, seconds):
-        self.asked.add(upstream.instance)
+        self.probed.add(upstream.instance)
         return PulseReading(Pulse.ALIVE, 1.0)
 
 
@@ -38,19 +38,19 @@
 
 
 @given("a stalled stream over a, b and c")
-def standing(context):
+def stalled_stream(context):
     context.streams = [stream_over("abc", 1)]
 
 
 @given("another one over {names} that {state}")
-def another(context, names, state):
+def another_stream(context, names, state):
     context.streams.append(stream_over([each.strip() for each in names.split(",")], 2))
     context.goes_on = state == "goes on"
 
 
 @when("the streams are monitored for {seconds:g} seconds")
-def watched(context, seconds):
-    context.control = NotingControl()
+def monitor_streams(context, seconds):
+    context.control = RecordingControl()
 
     async def story():
         upstreams = UpstreamTable(trio.current_time)
@@ -79,6 +79,6 @@
 
 
 @then("the probed upstreams are {names}")
-def asked_directly(context, names):
-    wanted = set() if names == "none" else {each.strip() for each in names.split(",")}
-    assert context.control.asked == wanted, context.control.asked
+def probed_are(context, names):
+    expected = set() if names == "none" else {each.strip() for each in names.split(",")}
+    assert context.control.probed == expected, context.control.probed
--- a/features/steps/torn_write_steps.py
+++ b/features/steps/torn_write_steps.py
@@ -1,14 +1,15 @@
-"""Steps about writes to a caller that something cuts short.
+"""Steps for writes to a caller that are cancelled before they are complete.
 
-A stream was taken from its upstream in the tick in which its first event came. The interruption
-also cancelled the writing to the caller: the head counted as sent and never left, so the next
-upstream's first event went out as a chunk without a head, which is no answer. The log said
+They guard against an interruption of a stream that also cancels a write to its caller. A stream was
+detached from its upstream in the scheduler tick in which its first event came: the response head
+counted as sent but never was, so that the next upstream's first event went out as a chunk without a
+head, which is malformed. The log said
 
     try-interrupted instance=x1 why=first-silent begun=True torn=True last_event=None
 
-"begun" without a last event: the head was taken for sent; "torn": its bytes did not leave. In a cut
-event the caller read, in one answer, `f, id: 1, d` and then `f, id: 1, data: a`; and behind an end
-that a deadline cut, the answer to its next request.
+"begun" without a last event shows that the head counted as sent, "torn" that its bytes were not
+sent. When an event was cut, the caller read `f, id: 1, d` and then `f, id: 1, data: a` in one
+response; when a deadline cut the end, it read the response to its next request after it.
 """
 
 import trio
@@ -16,7 +17,12 @@
 from connection_world import BOUNDS, read_until_end, virtually
 from gateway_story import expected_events, two_chains
 from gateway_world import Got
-from interruption_world import HalfWay, Meeting, ask_held_up, watch_streams
+from interruption_world import (
+    HalfWriteStream,
+    TriggeredInterruption,
+    play_blocked_caller,
+    watch_streams,
+)
 
 from deckcourse.gateway.active_stream import Interruption
 from deckcourse.http1.server import serve_connection
@@ -26,31 +32,31 @@
 GIVEN_UP_SECONDS = 1.0
 HEAD = b"HTTP/1.1 200 \r\nTransfer-Encoding: chunked\r\n\r\n"
 CHUNK = b"f\r\n" + EVENT + b"\r\n"
-# Each part of an answer as it goes over the wire.
+# The bytes of each part of a response.
 WIRE = {
     "the head": HEAD,
     "an event": CHUNK,
     "the end": b"0\r\n\r\n",
     "a whole answer": b"HTTP/1.1 200 \r\ncontent-length: 15\r\n\r\n" + EVENT,
 }
-TOLD = ("try-interrupted", "connection-failed")
+LOGGED_KINDS = ("try-interrupted", "connection-failed")
 
 
-def sought_bytes(site, what):
+def trigger_bytes(site, what):
     number = {"the 1st event": 1, "the 2nd event": 2, "the last event": site.events}.get(what)
     return b"0\r\n\r\n" if number is None else f"id: {number}\n".encode()
 
 
 def ask_with_interruption(site, what):
-    """Play one stream whose first upstream brings `what` as the stream is taken from it."""
-    meeting = Meeting(Interruption.FIRST_SILENT)
+    """Play one stream that is detached from its first upstream as `what` arrives from it."""
+    interruption = TriggeredInterruption(Interruption.FIRST_SILENT)
 
     async def dial(address):
         transport = await site.network.dial(address)
-        return meeting.on(transport, sought_bytes(site, what))
+        return interruption.on(transport, trigger_bytes(site, what))
 
     async def story(site):
-        watch_streams(site, meeting.streams)
+        watch_streams(site, interruption.streams)
         site.got = await site.ask()
 
     site.dial = dial
@@ -59,12 +65,12 @@
         site.play(story)
     except ExceptionGroup as fault:
         site.note("connection-failed", what=repr(fault.exceptions))
-    assert meeting.happened, f"no upstream ever brought {what}"
+    assert interruption.happened, f"no upstream ever sent {what}"
     return site.got, site.lines
 
 
 @when("a stream is detached from its upstream in the scheduler tick in which it receives")
-def taken_in_a_tick(context):
+def detach_in_a_tick(context):
     context.plays = []
     for row in context.table:
         two_chains(context)
@@ -74,7 +80,7 @@
 @then("each time the caller got every event once")
 def every_event_once(context):
     wrong = {
-        what: (got.status, got.whole, got.body, [each for each in lines if each[0] in TOLD])
+        what: (got.status, got.whole, got.body, [each for each in lines if each[0] in LOGGED_KINDS])
         for what, got, lines in context.plays
         if (got.status, got.whole, got.body)
         != (200, True, expected_events(context.site, "r1", context.site.events))
@@ -83,16 +89,16 @@
 
 
 @then("each time the log records the interruption and that no write was torn")
-def told(context):
+def logged(context):
     for what, _, lines in context.plays:
-        told = [fields for kind, fields in lines if kind == "try-interrupted"]
-        # A stream whose end is here has nothing left that could be taken away.
-        assert len(told) == (what != "its end"), (what, told)
-        assert not any(fields["torn"] for fields in told), (what, told)
+        logged = [fields for kind, fields in lines if kind == "try-interrupted"]
+        # A stream whose end has arrived can no longer be detached.
+        assert len(logged) == (what != "its end"), (what, logged)
+        assert not any(fields["torn"] for fields in logged), (what, logged)
 
 
 async def write(exchange, part):
-    """Write one part of an answer, as `WIRE` has it."""
+    """Write one part of a response, as `WIRE` lists them."""
     if part == "the head":
         await exchange.start(200, ())
     elif part == "an event":
@@ -107,7 +113,7 @@
 
 
 async def read_with(handler, near, far):
-    """Serve a connection on which two requests came; return all that the caller reads."""
+    """Serve a connection with two pipelined requests; return all bytes that the caller reads."""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(serve_connection, far, handler, lambda: BOUNDS, lambda: False)
         await near.send_all(REQUEST + REQUEST)
@@ -115,33 +121,33 @@
 
 
 @given("a caller whose connection accepts half of a write and then blocks")
-def half_way(context):
+def half_write_caller(context):
     context.reads = {}
 
 
 @when("a handler continues after a write was cancelled, with another request pipelined, in")
-def cut_in_writing(context):
+def cancel_while_writing(context):
     context.asked = {}
     for row in context.table:
         part = row["part"]
         near, inner = trio.testing.memory_stream_pair()
-        far = HalfWay(inner)
+        far = HalfWriteStream(inner)
 
         async def handler(request, exchange, part=part, far=far):
             context.asked[part] = context.asked.get(part, 0) + 1
             for earlier in PARTS_BEFORE.get(part, ()):
                 await write(exchange, earlier)
-            far.stuck = True
+            far.is_blocked = True
             with trio.move_on_after(GIVEN_UP_SECONDS):
                 await write(exchange, part)
-            far.stuck = False
-            await go_on(exchange, part)
+            far.is_blocked = False
+            await continue_response(exchange, part)
 
         context.reads[part] = virtually(lambda: read_with(handler, near, far))  # noqa: B023
 
 
-async def go_on(exchange, part):
-    """Go on as a handler does that takes what was cut for written."""
+async def continue_response(exchange, part):
+    """Continue as a handler does that takes a cancelled write for a complete one."""
     if part in ("the head", "an event"):
         await exchange.send(EVENT)
         await exchange.finish()
@@ -153,7 +159,7 @@
     for part, data in context.reads.items():
         cut = WIRE[part][: len(WIRE[part]) // 2]
         assert data == before.get(part, b"") + cut, (part, data)
-        # The request behind it could run, but not be answered.
+        # If the pipelined request ran, it could not be answered.
         assert context.asked[part] == 1, (part, context.asked)
 
 
@@ -184,13 +190,13 @@
     "a stream is detached from its upstream while its caller reads half of an event and "
     "then pauses"
 )
-def taken_while_held_up(context):
-    ask_held_up(context)
+def detach_while_blocked(context):
+    play_blocked_caller(context)
     assert [kind for kind, _ in context.site.lines if kind == "try-interrupted"]
 
 
 async def end_over_tcp(version, how):
-    """Return how a caller's connection ends whose handler leaves off."""
+    """Return how a caller's connection ends when its handler returns."""
 
     async def handler(request, exchange):
         await exchange.start(200, ())
@@ -216,7 +222,7 @@
 
 
 @when("a handler returns over TCP")
-def leaves_off(context):
+def return_over_tcp(context):
     context.ends = [
         (row["version"], row["how"], row["end"], trio.run(end_over_tcp, row["version"], row["how"]))
         for row in context.table
--- a/features/steps/work_steps.py
+++ b/features/steps/work_steps.py
@@ -1,4 +1,4 @@
-"""Steps about how much work decisions take, in calls of functions: the same on every machine."""
+"""Steps for the cost of decisions, counted in function calls: the same on every machine."""
 
 import sys
 from dataclasses import replace
@@ -24,7 +24,7 @@
 
 
 def calls_of(work):
-    """Return how many functions some work calls, those of the interpreter included."""
+    """Return how many function calls `work` makes, including built-in functions."""
     count = 0
 
     def note(frame, event, argument):
