--- a/deckcourse/gateway/stalls.py
+++ b/deckcourse/gateway/stalls.py
@@ -25,7 +25,7 @@
 MIN_CHECK_INTERVAL_SECONDS = 0.012
 MAX_CHECK_INTERVAL_SECONDS = 0.06
 # A live upstream answers a probe within 3 ms; one that misses the first timeout and then the second
-# counts as lost.
+# is suspected.
 PROBE_TIMEOUT_SECONDS = 0.015
 SECOND_PROBE_TIMEOUT_SECONDS = 0.025
 # A suspected upstream that doesn't answer within this timeout either is confirmed lost: a loaded
@@ -52,7 +52,7 @@
 PROBE_INTERVAL_SECONDS = 0.4
 # How long a suspected upstream gets no new requests: by then its row is gone or it has restarted.
 SUSPICION_TTL_SECONDS = 4.0
-# Consecutive unanswered queries after which the first upstream itself counts as lost.
+# Consecutive unanswered queries after which the first upstream itself is suspected.
 MAX_UNANSWERED_QUERIES = 2
 # Paths offered to the first upstream of a stalled stream before the stream is interrupted.
 MAX_MOVE_ATTEMPTS = 3
@@ -80,7 +80,7 @@
       upstreams: the upstreams that this process knows; suspicions are recorded there.
       control: queries upstreams, probes them and moves streams.
       choices: returns the path choice of a service.
-      on_lost: called with the failure domain of each upstream that becomes suspected.
+      on_suspected: called with the failure domain of each upstream that is suspected.
       count: increments the counter of a name.
       log: writes an entry to the decision log.
     """
@@ -90,14 +90,14 @@
         upstreams: UpstreamTable,
         control: StreamControl,
         choices: Callable[[str], PathChoice],
-        on_lost: Callable[[str], None],
+        on_suspected: Callable[[str], None],
         count: Callable[[str], None],
         log: Callable[..., None],
     ) -> None:
         self._upstreams = upstreams
         self._control = control
         self._choices = choices
-        self._on_lost = on_lost
+        self._on_suspected = on_suspected
         self._count = count
         self._log = log
         self._streams: set[ActiveStream] = set()
@@ -125,17 +125,17 @@
 
     async def run(self) -> None:
         """Monitor streams until cancelled."""
-        due = trio.current_time()
+        due_at = trio.current_time()
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             while True:
                 now = trio.current_time()
-                if now - due < PROCESS_PAUSE_SECONDS:
+                if now - due_at < PROCESS_PAUSE_SECONDS:
                     self._check_streams(nursery, now)
                 else:
-                    self._log("paused", seconds=round(now - due, 3))
-                due = now + self._seconds_until_check(now)
-                await trio.sleep_until(due)
+                    self._log("paused", seconds=round(now - due_at, 3))
+                due_at = now + self._seconds_until_check(now)
+                await trio.sleep_until(due_at)
 
     def _seconds_until_check(self, now: float) -> float:
         """Return the seconds until the next stream can become stalled, within the bounds."""
@@ -257,7 +257,7 @@
 
     def _suspect(self, upstream: Upstream) -> None:
         self._upstreams.suspect(upstream.instance, SUSPICION_TTL_SECONDS)
-        self._on_lost(upstream.domain)
+        self._on_suspected(upstream.domain)
         if upstream.instance not in self._confirming and self._nursery is not None:
             self._confirming.add(upstream.instance)
             self._nursery.start_soon(self._confirm_suspicion, upstream)
--- a/features/gateway_runner.py
+++ b/features/gateway_runner.py
@@ -70,13 +70,13 @@
         self.work = 0.05
         self.slots = 6
         self.kind = "card"
-        self.let_go_at_once = False
+        self.unloaded_at_once = False
         self.holds_up = False
         self.silent_until = 0.0
         # Delay before it answers queries and orders, seconds.
         self.control_delay = 0.0
         self.born = None
-        self.left_open = False
+        self.keeps_silent_connections = False
         self.on_order = None
         # The backoffs that a refusal requests, one header each; the upstream at fault; whether
         # control calls are refused too; and whether every response says that it is leaving.
@@ -87,10 +87,10 @@
         # The rate limits that every response states, one header each, and whether responses to
         # queries and orders state them as well.
         self.rate_limits = ()
-        self.limits_questions = True
+        self.limits_control_calls = True
 
     @property
-    def notice(self):
+    def response_headers(self):
         """The headers of every response: that it is leaving, and its rate limits."""
         limits = tuple((b"server-limit", each.encode()) for each in self.rate_limits)
         if not self.says_leaving:
@@ -100,9 +100,9 @@
         return (*limits, (b"server-leaving", b"1"))
 
     @property
-    def control_notice(self):
+    def control_call_headers(self):
         """The same headers for responses to queries and orders."""
-        return self.notice if self.limits_questions or not self.rate_limits else ()
+        return self.response_headers if self.limits_control_calls or not self.rate_limits else ()
 
     def refusal(self):
         """Return the headers of a refusal, and record the backoffs that it requests."""
@@ -112,7 +112,7 @@
                 self.world.asked.append(sent_notice)
         backoffs = tuple((b"retry-after", each.encode()) for each in self.asks)
         at_fault_header = ((b"at-server", self.at_fault.encode()),) if self.at_fault else ()
-        return (*self.notice, (b"x-not-executed", b"1"), *at_fault_header, *backoffs)
+        return (*self.response_headers, (b"x-not-executed", b"1"), *at_fault_header, *backoffs)
 
     @property
     def told_start(self):
@@ -154,7 +154,7 @@
         Returns:
           The runner after the restart.
         """
-        self.left_open = not resets
+        self.keeps_silent_connections = not resets
         if resets:
             self.world.network.kill(self.address)
         after = StandinRunner(self.world, self.instance, self.service, self.domain)
@@ -167,7 +167,7 @@
         return after
 
     async def handle(self, request, exchange):
-        if self.left_open:
+        if self.keeps_silent_connections:
             await trio.sleep_forever()
         # A runner of a plain service has no control calls: it executes every request.
         has_control_calls = self.service != "crm"
@@ -193,7 +193,7 @@
                     if trio.current_time() - since >= REPORT_LAG_SECONDS
                 ],
             }
-            await exchange.whole(200, self.control_notice, json.dumps(report).encode())
+            await exchange.whole(200, self.control_call_headers, json.dumps(report).encode())
         elif has_control_calls and request.target == b"/v1/order":
             await self.order(json.loads(request.body), exchange)
         else:
@@ -208,16 +208,16 @@
             known = order["id"] in self.paths
             if known:
                 self.set_path(order["id"], order["path"])
-            await exchange.whole(200 if known else 404, self.control_notice, start_fields)
+            await exchange.whole(200 if known else 404, self.control_call_headers, start_fields)
             return
         if not self.obeys or order["expectedRev"] != self.orders:
-            await exchange.whole(409, self.control_notice, start_fields)
+            await exchange.whole(409, self.control_call_headers, start_fields)
             return
         self.orders += 1
-        self.let_go_at_once = order["how"] == "cut"
+        self.unloaded_at_once = order["how"] == "cut"
         self.first, self.end = order["rangeStart"], order["targetVersion"]
         self.world.orders.append((self.instance, self.first, self.end))
-        await exchange.whole(202, self.control_notice, start_fields)
+        await exchange.whole(202, self.control_call_headers, start_fields)
         self.world.store.put("servers", self.instance, self.row())
 
     def set_path(self, name, text):
@@ -233,7 +233,7 @@
         arrival = ReceivedRequest(name, self.instance, self.born, trio.current_time())
         self.world.arrivals.append(arrival)
         if headers.get("x-expected-instance", self.instance) != self.instance:
-            await exchange.whole(421, (answer[0], *self.notice), b"")
+            await exchange.whole(421, (answer[0], *self.response_headers), b"")
             return
         if self.behaviour == "full":
             self.world.refusals += 1
@@ -256,7 +256,9 @@
             answer = ((b"x-request-id", b"another"), *answer[1:])
         status = 500 if self.behaviour == "fails" else 200
         run.ended = "answered"
-        await exchange.whole(status, (*answer, *self.notice), f"answer to {run.request}".encode())
+        await exchange.whole(
+            status, (*answer, *self.response_headers), f"answer to {run.request}".encode()
+        )
 
     async def stream(self, run, exchange, answer):
         self.set_path(run.request, run.headers["path"])
@@ -269,12 +271,12 @@
             return
         first = int(run.headers.get("last-event-id", 0)) + 1
         kind = (b"content-type", b"text/event-stream")
-        await exchange.start(200, (*answer, *self.notice, kind))
+        await exchange.start(200, (*answer, *self.response_headers, kind))
         for number in range(first, self.world.events + 1):
             await trio.sleep(EVENT_SECONDS)
             await trio.sleep_until(self.world.paused_until)
             await self.wait_for_path(run)
-            if self.left_open:
+            if self.keeps_silent_connections:
                 await trio.sleep_forever()
             event = f"id: {number}\ndata: {run.request} {number}\n\n".encode()
             if self.behaviour == "breaks" and number == 5:
--- a/features/mutants_gateway.py
+++ b/features/mutants_gateway.py
@@ -1,4 +1,4 @@
-"""Mutants of the gateway: each switches off one of its mechanisms."""
+"""Mutants of the gateway; each disables one of its mechanisms."""
 
 import re
 from dataclasses import replace
@@ -57,11 +57,11 @@
 
 
 def comments_are_events():
-    kept = EventReader._parse_event
+    original = EventReader._parse_event
     EventReader._parse_event = lambda self, block: (
         Event(block, self._previous or self._last or 1)
         if events_module._COMMENTS.fullmatch(block)
-        else kept(self, block)
+        else original(self, block)
     )
 
 
@@ -74,8 +74,8 @@
 
 
 def no_resume_position():
-    kept = PlatformDialect.headers_for
-    PlatformDialect.headers_for = lambda self, request, dispatch: kept(
+    original = PlatformDialect.headers_for
+    PlatformDialect.headers_for = lambda self, request, dispatch: original(
         self, request, replace(dispatch, last_event=request.last_event)
     )
 
@@ -123,9 +123,9 @@
 
 
 def lapsed_rows_are_as_good():
-    kept = UpstreamTable.layer_hosts
+    original = UpstreamTable.layer_hosts
     UpstreamTable.layer_hosts = lambda self, service: tuple(
-        replace(each, lapsing=False) for each in kept(self, service)
+        replace(each, lapsing=False) for each in original(self, service)
     )
 
 
@@ -134,9 +134,9 @@
 
 
 def leaving_counts_not():
-    kept = UpstreamTable.layer_hosts
+    original = UpstreamTable.layer_hosts
     UpstreamTable.layer_hosts = lambda self, service: tuple(
-        replace(each, usable=not self.is_suspect(each.instance)) for each in kept(self, service)
+        replace(each, usable=not self.is_suspect(each.instance)) for each in original(self, service)
     )
 
 
@@ -145,18 +145,22 @@
 
 
 def any_answer_will_do():
-    kept = PlatformDialect.facts
+    original = PlatformDialect.facts
 
     def facts(self, reply):
-        found = kept(self, reply)
-        return replace(found, request_id="r1") if found.request_id == "another" else found
+        original_facts = original(self, reply)
+        return (
+            replace(original_facts, request_id="r1")
+            if original_facts.request_id == "another"
+            else original_facts
+        )
 
     PlatformDialect.facts = facts
 
 
 def earlier_answers_come_again():
-    kept = ConnectionPool._take_idle
-    ConnectionPool._take_idle = lambda self, address, longest_idle, unlike: kept(
+    original = ConnectionPool._take_idle
+    ConnectionPool._take_idle = lambda self, address, longest_idle, unlike: original(
         self, address, longest_idle, None
     )
 
@@ -192,13 +196,13 @@
 
 
 def plans_without_condition():
-    kept = PlanBook.claim
+    original = PlanBook.claim
 
     async def claim(self, group, model, assignments):
         key = f"plans/{group}"
-        found = self._table.rows.get(key)
-        self._rows[group] = found if found is not None else self._rows.get(group)
-        return await kept(self, group, model, assignments)
+        table_row = self._table.rows.get(key)
+        self._rows[group] = table_row if table_row is not None else self._rows.get(group)
+        return await original(self, group, model, assignments)
 
     PlanBook.claim = claim
 
@@ -243,21 +247,21 @@
 
 
 def taken_without_retry():
-    kept = ActiveStream.interrupt
+    original = ActiveStream.interrupt
 
     def interrupt(self, why):
         self.reserve_retry = lambda: True
-        return kept(self, why)
+        return original(self, why)
 
     ActiveStream.interrupt = interrupt
 
 
 def interruptions_reach_the_caller():
-    kept = StreamCall._forward_events
+    original = StreamCall._forward_events
 
     async def pass_on(self, reply, stream, events):
         with stream.interruptible():
-            await kept(self, reply, stream, events)
+            await original(self, reply, stream, events)
 
     StreamCall._forward_events = pass_on
 
@@ -297,8 +301,8 @@
 
 
 def store_is_never_lost():
-    kept = Follower._contact
-    Follower._contact = lambda self, as_of: kept(self, as_of + 1000.0)
+    original = Follower._contact
+    Follower._contact = lambda self, as_of: original(self, as_of + 1000.0)
 
 
 def paths_share_hosts():
@@ -343,11 +347,11 @@
 
 
 def ended_starts_keep_connections():
-    kept = GatewayNode._note_ended
+    original = GatewayNode._note_ended
 
     def note_ended(self, older):
         with patch.object(ConnectionPool, "forget"):
-            kept(self, older)
+            original(self, older)
 
     GatewayNode._note_ended = note_ended
 
--- a/features/steps/gateway_fault_steps.py
+++ b/features/steps/gateway_fault_steps.py
@@ -123,7 +123,7 @@
 def suspicion_ended(context):
     assert "suspicion-ended" in [decision for decision, _ in context.site.lines]
     assert context.suspect == []
-    assert not any(each.let_go_at_once for each in context.site.runners.values())
+    assert not any(each.unloaded_at_once for each in context.site.runners.values())
 
 
 @when("the second upstream of a stream dies while the other chain executes {running:d} requests")
--- a/features/steps/gateway_healing_steps.py
+++ b/features/steps/gateway_healing_steps.py
@@ -54,7 +54,7 @@
     site = context.site
     assert len(site.orders) == 1 and site.orders[0][1:] == (0, 2), site.orders
     name = site.orders[0][0]
-    assert name in ("x3", "x4") and site.runners[name].let_go_at_once
+    assert name in ("x3", "x4") and site.runners[name].unloaded_at_once
 
 
 @then("its neighbours are ordered to load its layers, each order within memory")
