--- a/features/mutants_gateway.py
+++ b/features/mutants_gateway.py
@@ -1,4 +1,4 @@
-"""Mutants of the gateway: each switches off one of its mechanisms."""
+"""Mutants of the gateway; each disables one of its mechanisms."""
 
 import re
 from dataclasses import replace
@@ -25,7 +25,7 @@
 from deckcourse.gateway.events import Event, EventReader
 from deckcourse.gateway.known_starts import KnownStarts
 from deckcourse.gateway.lapse_check import LapseCheck
-from deckcourse.gateway.lookup import Lookup
+from deckcourse.gateway.lookup import ServiceCall
 from deckcourse.gateway.node import GatewayNode
 from deckcourse.gateway.path_choice import PathChoice
 from deckcourse.gateway.return_schedule import ReturnSchedule
@@ -57,16 +57,16 @@
 
 
 def comments_are_events():
-    kept = EventReader._event
-    EventReader._event = lambda self, block: (
-        Event(block, self._before or self._last or 1)
+    original = EventReader._parse_event
+    EventReader._parse_event = lambda self, block: (
+        Event(block, self._previous or self._last or 1)
         if events_module._COMMENTS.fullmatch(block)
-        else kept(self, block)
+        else original(self, block)
     )
 
 
 def events_without_bound():
-    events_module.LARGEST_EVENT = float("inf")
+    events_module.MAX_EVENT_BYTES = float("inf")
 
 
 def joined_answers_pass():
@@ -74,37 +74,37 @@
 
 
 def no_resume_position():
-    kept = PlatformDialect.headers_for
-    PlatformDialect.headers_for = lambda self, request, dispatch: kept(
+    original = PlatformDialect.headers_for
+    PlatformDialect.headers_for = lambda self, request, dispatch: original(
         self, request, replace(dispatch, last_event=request.last_event)
     )
 
 
 def no_stall_watch():
-    ActiveStream.stands = lambda self, now: False
+    ActiveStream.is_stalled = lambda self, now: False
 
 
 def no_pulses():
     async def nothing(self, first):
         return None
 
-    StallMonitor._probe_all_behind = nothing
+    StallMonitor._probe_later_stages = nothing
 
 
 def everybody_behind_is_asked():
-    StallMonitor._passed_since = lambda self, moment: set()
+    StallMonitor._with_events_since = lambda self, moment: set()
 
 
 def repeats_everything():
-    Lookup._may_repeat = lambda self: True
+    ServiceCall._may_execute_again = lambda self: True
 
 
 def never_repeats():
-    Lookup._may_repeat = lambda self: False
+    ServiceCall._may_execute_again = lambda self: False
 
 
 def resumes_everything():
-    StreamRetries.may_go_on = lambda self: True
+    StreamRetries.may_run_elsewhere = lambda self: True
 
 
 def keys_never_age():
@@ -123,9 +123,9 @@
 
 
 def lapsed_rows_are_as_good():
-    kept = UpstreamTable.layer_hosts
+    original = UpstreamTable.layer_hosts
     UpstreamTable.layer_hosts = lambda self, service: tuple(
-        replace(each, lapsing=False) for each in kept(self, service)
+        replace(each, lapsing=False) for each in original(self, service)
     )
 
 
@@ -134,9 +134,9 @@
 
 
 def leaving_counts_not():
-    kept = UpstreamTable.layer_hosts
+    original = UpstreamTable.layer_hosts
     UpstreamTable.layer_hosts = lambda self, service: tuple(
-        replace(each, usable=not self.is_suspect(each.instance)) for each in kept(self, service)
+        replace(each, usable=not self.is_suspect(each.instance)) for each in original(self, service)
     )
 
 
@@ -145,18 +145,22 @@
 
 
 def any_answer_will_do():
-    kept = PlatformDialect.facts
+    original = PlatformDialect.facts
 
     def facts(self, reply):
-        found = kept(self, reply)
-        return replace(found, request_id="r1") if found.request_id == "another" else found
+        original_facts = original(self, reply)
+        return (
+            replace(original_facts, request_id="r1")
+            if original_facts.request_id == "another"
+            else original_facts
+        )
 
     PlatformDialect.facts = facts
 
 
 def earlier_answers_come_again():
-    kept = ConnectionPool._take_idle
-    ConnectionPool._take_idle = lambda self, address, longest_idle, unlike: kept(
+    original = ConnectionPool._take_idle
+    ConnectionPool._take_idle = lambda self, address, longest_idle, unlike: original(
         self, address, longest_idle, None
     )
 
@@ -192,13 +196,13 @@
 
 
 def plans_without_condition():
-    kept = PlanBook.claim
+    original = PlanBook.claim
 
     async def claim(self, group, model, assignments):
         key = f"plans/{group}"
-        found = self._table.rows.get(key)
-        self._rows[group] = found if found is not None else self._rows.get(group)
-        return await kept(self, group, model, assignments)
+        table_row = self._table.rows.get(key)
+        self._rows[group] = table_row if table_row is not None else self._rows.get(group)
+        return await original(self, group, model, assignments)
 
     PlanBook.claim = claim
 
@@ -235,31 +239,31 @@
 
 
 def refusals_are_forgotten():
-    path_choice_module.LONGEST_FULL_SECONDS = path_choice_module.FULL_SECONDS
+    path_choice_module.MAX_REFUSAL_BACKOFF_SECONDS = path_choice_module.REFUSAL_BACKOFF_SECONDS
 
 
 def memory_has_no_places():
-    PathChoice._places = lambda self, part: self._upstreams.get(part.instance).slots
+    PathChoice._capacity = lambda self, part: self._upstreams.get(part.instance).slots
 
 
 def taken_without_retry():
-    kept = ActiveStream.interrupt
+    original = ActiveStream.interrupt
 
     def interrupt(self, why):
-        self.take_retry = lambda: True
-        return kept(self, why)
+        self.reserve_retry = lambda: True
+        return original(self, why)
 
     ActiveStream.interrupt = interrupt
 
 
 def interruptions_reach_the_caller():
-    kept = StreamCall._pass_on
+    original = StreamCall._forward_events
 
     async def pass_on(self, reply, stream, events):
         with stream.interruptible():
-            await kept(self, reply, stream, events)
+            await original(self, reply, stream, events)
 
-    StreamCall._pass_on = pass_on
+    StreamCall._forward_events = pass_on
 
 
 def torn_connections_go_on():
@@ -270,11 +274,11 @@
     async def nothing(self, upstream):
         return None
 
-    StallMonitor._resolve = nothing
+    StallMonitor._confirm_suspicion = nothing
 
 
 def broken_streams_do_not_wait():
-    stream_retries_module.LONGEST_SEARCH_SECONDS = 0.0
+    stream_retries_module.MAX_RETRY_WAIT_SECONDS = 0.0
 
 
 def orders_are_given_once():
@@ -297,8 +301,8 @@
 
 
 def store_is_never_lost():
-    kept = Follower._contact
-    Follower._contact = lambda self, as_of: kept(self, as_of + 1000.0)
+    original = Follower._contact
+    Follower._contact = lambda self, as_of: original(self, as_of + 1000.0)
 
 
 def paths_share_hosts():
@@ -316,11 +320,11 @@
 
 
 def refused_come_back_together():
-    ReturnSchedule.take = lambda self, least, longest=6.0: least
+    ReturnSchedule.take_slot = lambda self, min_seconds, max_seconds=6.0: min_seconds
 
 
 def full_paths_are_taken():
-    PathChoice._open = lambda self, paths: paths
+    PathChoice._without_overloaded = lambda self, paths: paths
 
 
 SHARED = ("shared_limits",)
@@ -343,11 +347,11 @@
 
 
 def ended_starts_keep_connections():
-    kept = GatewayNode._note_ended
+    original = GatewayNode._note_ended
 
     def note_ended(self, older):
         with patch.object(ConnectionPool, "forget"):
-            kept(self, older)
+            original(self, older)
 
     GatewayNode._note_ended = note_ended
 
--- a/features/steps/shared_limit_steps.py
+++ b/features/steps/shared_limit_steps.py
@@ -1,4 +1,4 @@
-"""Steps about what processes may do together, each by its part of the traffic."""
+"""Steps for limits on all processes together, of which each uses its share of the traffic."""
 
 from collections import Counter
 from random import Random
@@ -9,7 +9,7 @@
 
 from deckcourse.gateway.dialect import LoadReport
 from deckcourse.gateway.load_watch import LoadWatch
-from deckcourse.gateway.retry_allowance import AT_ONCE_PART, RetryAllowance, RetryLimits
+from deckcourse.gateway.retry_allowance import BURST_SHARE, RetryAllowance, RetryLimits
 from deckcourse.gateway.return_schedule import ReturnSchedule
 from deckcourse.gateway.traffic_share import TrafficShare
 from deckcourse.gateway.upstream import Upstream
@@ -17,12 +17,12 @@
 
 LIMITS = RetryLimits()
 RATE = 100
-MEASURING_SECONDS = 0.4
+MEASURING_INTERVAL_SECONDS = 0.4
 STEP_SECONDS = 0.1
-# Streams that are at the upstreams at any moment; measurements are drawn from them.
-STANDING = 150
-# Retries may be counted from any of these moments on.
-SLIDE_SECONDS = 0.5
+# Streams that are in flight at the upstreams at any time; measurements are drawn from them.
+IN_FLIGHT = 150
+# Interval between the starts of the windows in which retries are counted.
+WINDOW_STEP_SECONDS = 0.5
 
 
 class Clock:
@@ -41,13 +41,13 @@
 def measurements(context, own, all):  # noqa: A002
     clock = Clock()
     context.traffic = TrafficShare(clock)
-    for mine, everybodys in zip(numbers(own), numbers(all), strict=True):
-        clock.now += MEASURING_SECONDS
-        context.traffic.note(mine, everybodys)
+    for own_requests, total in zip(numbers(own), numbers(all), strict=True):
+        clock.now += MEASURING_INTERVAL_SECONDS
+        context.traffic.note(own_requests, total)
 
 
-@then("the process takes its part for {least:g} to {most:g}")
-def part_taken(context, least, most):
+@then("the process estimates its share at {least:g} to {most:g}")
+def estimated_share(context, least, most):
     assert least <= context.traffic.share <= most, context.traffic.share
 
 
@@ -62,8 +62,8 @@
     ]
 
 
-@when("every try fails for {seconds:d} seconds")
-def every_try_fails(context, seconds):
+@when("every attempt fails for {seconds:d} seconds")
+def every_attempt_fails(context, seconds):
     random = Random(1)
     names = range(len(context.weights))
     context.retries = []
@@ -71,10 +71,10 @@
     context.longest = 0.0
     for step in range(round(seconds / STEP_SECONDS)):
         context.clock.now = step * STEP_SECONDS
-        if step % round(MEASURING_SECONDS / STEP_SECONDS) == 0:
-            standing = Counter(random.choices(names, context.weights, k=STANDING))
+        if step % round(MEASURING_INTERVAL_SECONDS / STEP_SECONDS) == 0:
+            in_flight = Counter(random.choices(names, context.weights, k=IN_FLIGHT))
             for name, traffic in enumerate(context.traffic):
-                traffic.note(standing[name], STANDING)
+                traffic.note(in_flight[name], IN_FLIGHT)
         for name in random.choices(names, context.weights, k=round(RATE * STEP_SECONDS)):
             context.allowances[name].earn()
             while context.allowances[name].spend():
@@ -87,8 +87,8 @@
 @then("no 10 seconds have more retries than 0.2 of the requests and 200")
 def within_bound(context):
     allowed = LIMITS.ratio * RATE * LIMITS.window + LIMITS.slack
-    for start in range(round(context.clock.now / SLIDE_SECONDS)):
-        begin = start * SLIDE_SECONDS
+    for start in range(round(context.clock.now / WINDOW_STEP_SECONDS)):
+        begin = start * WINDOW_STEP_SECONDS
         count = sum(begin <= each < begin + LIMITS.window for each in context.retries)
         assert count <= allowed, (begin, count, allowed)
 
@@ -98,15 +98,18 @@
     assert context.longest <= seconds, context.longest
 
 
-@given("an allowance of {count:d} retries at once")
+@given("an allowance for a burst of {count:d} retries")
 def allowance(context, count):
     clock = Clock()
-    limits = RetryLimits(slack=count / AT_ONCE_PART)
+    limits = RetryLimits(slack=count / BURST_SHARE)
     context.allowance = RetryAllowance(lambda: limits, lambda: 1.0, clock)
     clock.now = 1000.0
 
 
-@then("with a part of {kept:g} kept others get {others:d} and those that need them get {rest:d}")
+@then(
+    "with a share of {kept:g} reserved others get {others:d} and those that need them get "
+    "{rest:d}"
+)
 def kept_retries(context, kept, others, rest):
     assert sum(context.allowance.spend(kept) for _ in range(30)) == others
     assert sum(context.allowance.spend() for _ in range(30)) == rest
@@ -121,28 +124,28 @@
         context.schedule.note_answered()
 
 
-@when("{count:d} requests are refused at once, to come back after {least:g} seconds")
+@when("{count:d} requests are refused at once, with a retry-after of at least {least:g} seconds")
 def refused_at_once(context, count, least):
-    context.times = [context.schedule.take(least) for _ in range(count)]
+    context.times = [context.schedule.take_slot(least) for _ in range(count)]
 
 
 @then(
-    "the first comes back after {least:g} seconds and the last between {early:g} and {late:g}"
-    " seconds"
+    "the first may retry after {least:g} seconds and the last between {early:g} and "
+    "{late:g} seconds"
 )
 def coming_back(context, least, early, late):
     assert context.times[0] == least, context.times
     assert early <= context.times[-1] <= late, context.times
 
 
-@then("no second has more than {most:d} of them")
+@then("no second has more than {most:d} of these retries")
 def spread_out(context, most):
     count = max(sum(start <= each < start + 1 for each in context.times) for start in context.times)
     assert count <= most, sorted(context.times)
 
 
-class LateControl:
-    """Answers each question about load after a while."""
+class DelayedControl:
+    """Answers each load query after a delay."""
 
     def __init__(self, seconds):
         self.seconds = seconds
@@ -152,12 +155,15 @@
         return LoadReport(running=30, queued=0, cache_used=0, cache_total=1)
 
 
-@given("a process that asks upstreams which answer after {seconds:g} seconds")
-def asks_late(context, seconds):
-    context.control = LateControl(seconds)
+@given("a process that queries upstreams which answer after {seconds:g} seconds")
+def delayed_upstreams(context, seconds):
+    context.control = DelayedControl(seconds)
 
 
-@then("its part of the traffic is unknown after {early:g} seconds and known after {late:g} seconds")
+@then(
+    "its share of the traffic is unknown after {early:g} seconds and known after {late:g} "
+    "seconds"
+)
 def known_later(context, early, late):
     upstream = Upstream("u", "s", "u:1", "x")
 
@@ -180,7 +186,7 @@
     trio.run(story, clock=MockClock(autojump_threshold=0))
 
 
-@given("an allowance that began with a share of {share:g} and a slack of {slack:g}")
+@given("an allowance that started with a share of {share:g} and a slack of {slack:g}")
 def began_with(context, share, slack):
     context.clock = Clock()
     context.share = share
@@ -192,7 +198,7 @@
 def share_becomes(context, share, seconds):
     context.clock.now += seconds
     # What came back until then came by the share until then.
-    assert context.allowance.balance == context.allowance.largest
+    assert context.allowance.balance == context.allowance.max_balance
     context.share = share
 
 
--- a/features/steps/stall_steps.py
+++ b/features/steps/stall_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the watch over streams, with a control that only notes whom it asks."""
+"""Steps for the stall monitor, with a control that only records which upstreams are probed."""
 
 import trio
 from behave import given, then, when
@@ -15,40 +15,42 @@
 EVENT_SECONDS = 0.02
 
 
-class NotingControl:
-    """Every upstream is there and nothing waits; notes who was asked directly."""
+class RecordingControl:
+    """A control whose upstreams all answer and report no stall; records the probed ones."""
 
     def __init__(self):
-        self.asked = set()
+        self.probed = set()
 
     async def stalled(self, upstream):
         return StallReport({}, 1.0)
 
     async def pulse(self, upstream, seconds):
-        self.asked.add(upstream.instance)
+        self.probed.add(upstream.instance)
         return PulseReading(Pulse.ALIVE, 1.0)
 
 
 def stream_over(names, number):
     parts = tuple(PathPart(name, f"{name}:1", index, index + 1) for index, name in enumerate(names))
     path = LayerPath(parts, "x", 1.0)
-    return ActiveStream(f"r{number}", "s", ModelSpec("m", len(names), 1.0), path, 0.0, begun=True)
+    return ActiveStream(
+        f"r{number}", "s", ModelSpec("m", len(names), 1.0), path, 0.0, has_events=True
+    )
 
 
-@given("a stream over a, b and c that stands still")
-def standing(context):
+@given("a stalled stream over a, b and c")
+def stalled_stream(context):
     context.streams = [stream_over("abc", 1)]
 
 
 @given("another one over {names} that {state}")
-def another(context, names, state):
+def another_stream(context, names, state):
     context.streams.append(stream_over([each.strip() for each in names.split(",")], 2))
     context.goes_on = state == "goes on"
 
 
-@when("the streams are watched for {seconds:g} seconds")
-def watched(context, seconds):
-    context.control = NotingControl()
+@when("the streams are monitored for {seconds:g} seconds")
+def monitor_streams(context, seconds):
+    context.control = RecordingControl()
 
     async def story():
         upstreams = UpstreamTable(trio.current_time)
@@ -76,7 +78,7 @@
     trio.run(story, clock=MockClock(autojump_threshold=0))
 
 
-@then("the upstreams asked directly are {names}")
-def asked_directly(context, names):
-    wanted = set() if names == "none" else {each.strip() for each in names.split(",")}
-    assert context.control.asked == wanted, context.control.asked
+@then("the probed upstreams are {names}")
+def probed_are(context, names):
+    expected = set() if names == "none" else {each.strip() for each in names.split(",")}
+    assert context.control.probed == expected, context.control.probed
