--- a/tools/write_matrix.py
+++ b/tools/write_matrix.py
@@ -1,4 +1,4 @@
-"""Writes features/fault_matrix*.feature: every fault at every step, once, twice and in pairs.
+"""Write features/fault_matrix*.feature: every fault at every step, single, repeated and in pairs.
 
 The cells that can't occur are listed with their reason at the top of the first file.
 """
@@ -12,7 +12,7 @@
 CONTROL_STEPS = ("lease renew", "plan", "confirm", "order", "order reply")
 CONFIG_STEPS = ("config accept", "config spread")
 ALL_STEPS = (*STREAM_STEPS, *CALL_STEPS, *CONTROL_STEPS, *CONFIG_STEPS)
-GROUPS = {
+STEP_GROUPS = {
     "stream_start": ("admit", "route", "first token"),
     "stream_end": ("mid-stream", "finish"),
     "call": CALL_STEPS,
@@ -20,7 +20,7 @@
     "configuration": CONFIG_STEPS,
 }
 
-# The victims that a fault of a machine or a link can have at each step.
+# The processes that a fault of a machine or a link can affect at each step.
 VICTIMS = {
     "admit": ("middle", "entry"),
     "route": ("head", "middle", "entry"),
@@ -40,7 +40,7 @@
 }
 MACHINE_FAULTS = ("kill", "cut", "freeze", "slow-link")
 PLATFORM_FAULTS = ("platform-outage", "slow-platform")
-TWICE = {
+REPEATED_FAULTS = {
     "kill": ("first token", "mid-stream", "claim", "call", "record result", "confirm"),
     "freeze": ("first token", "mid-stream", "call", "order", "config spread"),
     "cut": ("first token", "mid-stream", "call", "order"),
@@ -57,7 +57,7 @@
         "config accept",
     ),
 }
-PAIRS = (
+FAULT_PAIRS = (
     ("kill", "middle", "mid-stream", "kill", "head", "mid-stream"),
     ("kill", "middle", "mid-stream", "kill", "entry", "mid-stream"),
     ("kill", "middle", "first token", "platform-outage", "entry", "claim"),
@@ -83,14 +83,14 @@
     ("slow-link", "middle", "mid-stream", "kill", "last", "mid-stream"),
     ("slow-platform", "entry", "claim", "lost-reply", "entry", "claim"),
 )
-IMPOSSIBLE = (
+IMPOSSIBLE_CELLS = (
     "lost-reply at admit: the caller's request has no reply before its first token",
     "lost-reply at route: choosing a route crosses no interface; the stream's start has its own",
     "lost-reply at order: nothing has been done yet that a reply could tell; see order reply",
     "lapsed-lease at admit to record result: no lease is needed on a request's path",
 )
 
-FEATURE = """@fault-matrix
+FEATURE_TEMPLATE = """@fault-matrix
 Feature: {title}
 
   Scenario Outline: {name}
@@ -106,7 +106,7 @@
 
 
 def single_cells() -> list[tuple[str, str, str]]:
-    """Return every fault, victim and step that can occur."""
+    """Return every combination of a fault, a victim and a step that can occur."""
     cells = [
         (fault, victim, step)
         for step in ALL_STEPS
@@ -114,70 +114,74 @@
         for victim in VICTIMS[step]
     ]
     cells += [(fault, "platform", step) for step in ALL_STEPS for fault in PLATFORM_FAULTS]
-    lossless = ("admit", "route", "order")
-    cells += [("lost-reply", "reply", step) for step in ALL_STEPS if step not in lossless]
-    control = (*CONTROL_STEPS, *CONFIG_STEPS)
-    cells += [("lapsed-lease", "controller", step) for step in control]
+    steps_without_reply = ("admit", "route", "order")
+    cells += [
+        ("lost-reply", "reply", step) for step in ALL_STEPS if step not in steps_without_reply
+    ]
+    control_steps = (*CONTROL_STEPS, *CONFIG_STEPS)
+    cells += [("lapsed-lease", "controller", step) for step in control_steps]
     cells += [("operator-race", "operators", step) for step in ALL_STEPS]
     return cells
 
 
-def twice_cells() -> list[tuple[str, str, str]]:
-    """Return the faults that come twice at the same step."""
+def repeated_cells() -> list[tuple[str, str, str]]:
+    """Return the combinations whose fault is injected twice at the same step."""
     return [
         (
             fault,
             "reply" if fault == "lost-reply" else VICTIMS[step][-1 if fault == "call" else 0],
             step,
         )
-        for fault, steps in TWICE.items()
+        for fault, steps in REPEATED_FAULTS.items()
         for step in steps
     ]
 
 
-def table(header: tuple[str, ...], cells) -> str:
-    """Return an Examples table."""
+def examples_table(header: tuple[str, ...], cells) -> str:
+    """Return a Gherkin Examples table."""
     rows = [header, *cells]
     return "\n".join("      | " + " | ".join(row) + " |" for row in rows)
 
 
-def write(name: str, title: str, outline: str, steps: str, rows: str, comment: str = "") -> None:
-    text = FEATURE.format(title=title, name=outline, steps=steps, rows=rows)
-    (FEATURES / name).write_text(comment + text, encoding="utf-8")
+def write_feature(
+    file_name: str, title: str, outline: str, steps: str, rows: str, comment: str = ""
+) -> None:
+    text = FEATURE_TEMPLATE.format(title=title, name=outline, steps=steps, rows=rows)
+    (FEATURES / file_name).write_text(comment + text, encoding="utf-8")
 
 
 def main() -> None:
-    """Write the files."""
+    """Write the feature files and print the numbers of their scenarios."""
     comment = "# Written by tools/write_matrix.py. Cells that can't occur:\n"
-    comment += "".join(f"#   {reason}\n" for reason in IMPOSSIBLE)
+    comment += "".join(f"#   {reason}\n" for reason in IMPOSSIBLE_CELLS)
     header = ("fault", "victim", "step")
-    for group, steps in GROUPS.items():
+    for group, steps in STEP_GROUPS.items():
         cells = [cell for cell in single_cells() if cell[2] in steps]
-        write(
+        write_feature(
             f"fault_matrix_{group}.feature",
             f"Every fault at every step: {group}",
             "<fault> hits the <victim> at <step>",
             "    Given <fault> hits the <victim> at <step>",
-            table(header, cells),
+            examples_table(header, cells),
             comment,
         )
-    write(
+    write_feature(
         "fault_matrix_twice.feature",
         "The same fault twice",
         "<fault> hits the <victim> at <step>, twice",
         "    Given <fault> strikes the <victim> 2 times at <step>",
-        table(header, twice_cells()),
+        examples_table(header, repeated_cells()),
     )
     pair_header = ("fault", "victim", "step", "other", "whom", "where")
-    write(
+    write_feature(
         "fault_matrix_pairs.feature",
         "Two faults that meet",
         "<fault> at <step> and <other> at <where>",
         "    Given <fault> hits the <victim> at <step>\n"
         "    And <other> hits the <whom> at <where>",
-        table(pair_header, PAIRS),
+        examples_table(pair_header, FAULT_PAIRS),
     )
-    print(len(single_cells()), len(twice_cells()), len(PAIRS))
+    print(len(single_cells()), len(repeated_cells()), len(FAULT_PAIRS))
 
 
 if __name__ == "__main__":
