--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -1,6 +1,6 @@
-"""Measures the slopes and writes docs/capacity.json, docs/capacity-*.png and docs/CAPACITY.md.
+"""Measure the slopes and write docs/capacity.json, docs/capacity-*.png and docs/CAPACITY.md.
 
-With --page only the page is written anew, from the measured file.
+With --page nothing is measured: the plots and the page are written from docs/capacity.json.
 """
 
 import json
@@ -15,13 +15,13 @@
 
 matplotlib.use("Agg")
 
-import matplotlib.pyplot as plt  # noqa: E402 - the backend is chosen first
-from capacity_page import page  # noqa: E402
+import matplotlib.pyplot as plt  # noqa: E402 - the backend must be set first
+from capacity_page import render_page  # noqa: E402
 
 from deckcourse.slopes import measure_all  # noqa: E402
 
 DOCS = Path(__file__).resolve().parent.parent / "docs"
-FIGURES = DOCS / "capacity.json"
+FIGURES_FILE = DOCS / "capacity.json"
 PLOTS = {
     "capacity-data-path.png": (
         "token through an entry",
@@ -37,7 +37,7 @@
 
 
 def measure() -> None:
-    """Run every measurement and keep the figures."""
+    """Run every measurement and write the figures to docs/capacity.json."""
     slopes = measure_all(print)
     machine = f"{platform.machine()}, {os.cpu_count()} cores, Python {platform.python_version()}"
     figures = {
@@ -45,11 +45,11 @@
         "machine": machine,
         "slopes": [asdict(slope) for slope in slopes],
     }
-    FIGURES.write_text(json.dumps(figures, indent=1) + "\n", encoding="utf-8")
+    FIGURES_FILE.write_text(json.dumps(figures, indent=1) + "\n", encoding="utf-8")
 
 
 def plot(figures: dict) -> None:
-    """Draw the points and lines of the slopes that decide most."""
+    """Plot the points and fitted lines of the slopes that matter most for capacity."""
     slopes = {slope["name"]: slope for slope in figures["slopes"]}
     for file, names in PLOTS.items():
         figure, axes = plt.subplots(1, len(names), figsize=(4.2 * len(names), 3.2))
@@ -66,13 +66,13 @@
 
 
 def main() -> None:
-    """Measure, plot and write the page."""
+    """Measure unless --page is given, then plot and write the page."""
     if "--page" not in sys.argv:
         measure()
-    figures = json.loads(FIGURES.read_text(encoding="utf-8"))
+    figures = json.loads(FIGURES_FILE.read_text(encoding="utf-8"))
     plot(figures)
     gateway = (DOCS / "capacity-gateway.md").read_text(encoding="utf-8")
-    (DOCS / "CAPACITY.md").write_text(page(figures) + gateway, encoding="utf-8")
+    (DOCS / "CAPACITY.md").write_text(render_page(figures) + gateway, encoding="utf-8")
 
 
 if __name__ == "__main__":
