--- a/tools/start_cost.py
+++ b/tools/start_cost.py
@@ -1,7 +1,8 @@
-"""What one gateway process of many does in its first seconds, in processor time and calls.
+"""Measure the processor time and the calls of one gateway process among many after its start.
 
-In memory, on a virtual clock: rows of many upstreams come in, a plan of another process places
-them, and each row changes as its layers are loaded, while the other processes tell of themselves.
+The simulation runs in memory on a virtual clock: rows of many upstreams arrive, a plan of another
+process places layers on them, and each row changes as its layers are loaded, while the other
+processes send digests.
 
     python tools/start_cost.py [--upstreams N] [--processes N] [--profile LINES]
 """
@@ -51,11 +52,11 @@
 
 DOMAINS = "xyz"
 LAYERS = 80
-# Rows come in within the first part of the time, are placed, and change after that, seconds.
-COME_SECONDS = 5.0
-PLAN_SECONDS = 1.3
+# Phases of the simulation: rows arrive, wait for a plan, change as layers are loaded, and settle.
+ARRIVAL_SECONDS = 5.0
+PLAN_DELAY_SECONDS = 1.3
 LOAD_SECONDS = 9.0
-REST_SECONDS = 6.0
+SETTLE_SECONDS = 6.0
 STEP_SECONDS = 0.05
 
 
@@ -70,8 +71,8 @@
         return await super().read(keys)
 
 
-def row(number, first=0, end=0):
-    """Return one upstream's row."""
+def server_row(number, first=0, end=0):
+    """Return the row of an upstream that holds the layers `first` to `end`, none if both are 0."""
     return {
         "service": "llm",
         "address": f"127.0.{number // 250}.{number % 250}:7000",
@@ -86,8 +87,8 @@
     }
 
 
-def config():
-    """Return a desired state with a model of many layers."""
+def desired_state():
+    """Return a desired state whose model has `LAYERS` layers."""
     state = default_config()
     engine = state["services"][0]["engine"]
     engine["layers"] = LAYERS
@@ -95,62 +96,74 @@
     return state
 
 
-async def tell(medium, members, own):
-    """Have other processes tell of themselves, as often as they do."""
+async def send_digests(medium, members, own_address):
+    """Send digests with the heartbeats of other processes at the rate of a real site."""
     beat = 0
     while True:
         beat += 1
         for _ in range(4):
-            some = Random(beat).sample(members, min(18, len(members)))
-            told = tuple(
-                Member(each.name, 1, each.address, each.domain, beat=beat) for each in some
+            sample = Random(beat).sample(members, min(18, len(members)))
+            sampled_members = tuple(
+                Member(each.name, 1, each.address, each.domain, beat=beat) for each in sample
+            )
+            medium.carry(
+                "other:1",
+                own_address,
+                encode_digest(Digest(sampled_members[0], sampled_members[1:], False)),
             )
-            medium.carry("other:1", own, encode_digest(Digest(told[0], told[1:], False)))
             await trio.sleep(0.25)
 
 
-async def story(store, upstreams):
-    """Have all rows come, another process place them, and rows change as layers are loaded."""
-    steps = round(COME_SECONDS / STEP_SECONDS)
+async def change_rows(store, upstreams):
+    """Add all rows, write plans for them, and change the rows as their layers are loaded."""
+    steps = round(ARRIVAL_SECONDS / STEP_SECONDS)
     for step in range(steps):
         for number in range(step, upstreams, steps):
-            store.put("servers", f"runner-{number}", row(number))
+            store.put("servers", f"runner-{number}", server_row(number))
         await trio.sleep(STEP_SECONDS)
-    await trio.sleep(PLAN_SECONDS)
-    plan(store, upstreams)
-    held = {each.instance: each for domain in DOMAINS for each in planned(upstreams, domain)}
+    await trio.sleep(PLAN_DELAY_SECONDS)
+    write_plans(store, upstreams)
+    assignments = {
+        each.instance: each for domain in DOMAINS for each in first_plan(upstreams, domain)
+    }
     steps = round(LOAD_SECONDS / STEP_SECONDS)
     for step in range(steps):
         await trio.sleep(STEP_SECONDS)
         for number in range(step, upstreams, steps):
-            each = held.get(f"runner-{number}")
-            if each is not None:
-                store.put("servers", each.instance, row(number, each.first, each.end))
-    await trio.sleep(REST_SECONDS)
+            assignment = assignments.get(f"runner-{number}")
+            if assignment is not None:
+                store.put(
+                    "servers",
+                    assignment.instance,
+                    server_row(number, assignment.first, assignment.end),
+                )
+    await trio.sleep(SETTLE_SECONDS)
 
 
 @cache
-def planned(upstreams, domain):
-    """Return the first plan of a domain."""
-    model = PlatformRows().desired_state(json.dumps(config()).encode()).unwrap().services["llm"]
+def first_plan(upstreams, domain):
+    """Return the first plan of a failure domain."""
+    model = (
+        PlatformRows().desired_state(json.dumps(desired_state()).encode()).unwrap().services["llm"]
+    )
     hosts = [
-        LayerHost(f"runner-{each}", domain, "card")
-        for each in range(upstreams)
-        if DOMAINS[each % len(DOMAINS)] == domain
+        LayerHost(f"runner-{number}", domain, "card")
+        for number in range(upstreams)
+        if DOMAINS[number % len(DOMAINS)] == domain
     ]
     (group,) = groups_of(model.model, hosts)
     return plan_group(model.model, group)
 
 
-def plan(store, upstreams):
-    """Write the first plans, as another process does."""
+def write_plans(store, upstreams):
+    """Write the first plan of each failure domain, on behalf of another process."""
     for domain in DOMAINS:
-        record = PlanRecord(1, "another", "m", planned(upstreams, domain))
+        record = PlanRecord(1, "another", "m", first_plan(upstreams, domain))
         store.put("plans", domain, msgspec.to_builtins(record))
 
 
-def play(upstreams, processes):
-    """Play the first seconds of a process; return its processor time, seconds."""
+def simulate(upstreams, processes):
+    """Simulate the first seconds of a process; return its processor time, seconds."""
 
     async def main():
         async with trio.open_nursery() as nursery:
@@ -163,8 +176,8 @@
             control = RunnerControl(pool)
             medium = MemoryMedium()
             members = [
-                Member(f"n{each}", 1, f"n{each}:1", DOMAINS[each % len(DOMAINS)])
-                for each in range(processes)
+                Member(f"n{number}", 1, f"n{number}:1", DOMAINS[number % len(DOMAINS)])
+                for number in range(processes)
             ]
             own = followers(members, DOMAINS[0])[1]
             members.remove(own)
@@ -176,14 +189,14 @@
                 ),
                 GatewaySettings, counters, log.log, Random(1),
             )  # fmt: skip
-            nursery.start_soon(tell, medium, members, own.address)
+            nursery.start_soon(send_digests, medium, members, own.address)
             nursery.start_soon(node.run)
-            store.put("op", "config", config())
+            store.put("op", "config", desired_state())
             for domain in DOMAINS:
-                planned(upstreams, domain)
-            started = process_time()
-            await story(store, upstreams)
-            print(f"{process_time() - started:.2f} s of processor time")
+                first_plan(upstreams, domain)
+            started_at = process_time()
+            await change_rows(store, upstreams)
+            print(f"{process_time() - started_at:.2f} s of processor time")
             log.stop()
             nursery.cancel_scope.cancel()
 
@@ -191,19 +204,19 @@
 
 
 def main():
-    """Measure."""
+    """Run the simulation, under the profiler if asked, and print the result."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--upstreams", type=int, default=3000)
     parser.add_argument("--processes", type=int, default=300)
     parser.add_argument("--profile", type=int, default=0)
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     profile = cProfile.Profile()
-    if given.profile:
+    if arguments.profile:
         profile.enable()
-    play(given.upstreams, given.processes)
-    if given.profile:
+    simulate(arguments.upstreams, arguments.processes)
+    if arguments.profile:
         profile.disable()
-        pstats.Stats(profile).sort_stats("tottime").print_stats(given.profile)
+        pstats.Stats(profile).sort_stats("tottime").print_stats(arguments.profile)
 
 
 if __name__ == "__main__":
