--- a/deckcourse/standin_model.py
+++ b/deckcourse/standin_model.py
@@ -1,7 +1,7 @@
-"""The stand-ins' model: arithmetic in which a layer left out, doubled or misplaced shows.
+"""The simulated engines' model: checksums that reveal a skipped, repeated or misplaced layer.
 
-Each layer mixes its input with all inputs that it saw before (its KV cache), so that a token
-depends on every layer having run once for every position, in order.
+Each layer mixes its input with all its earlier inputs (its KV cache), so that a token is right
+only if every layer ran once for every position, in order.
 """
 
 from collections.abc import Sequence
@@ -18,7 +18,7 @@
 
 
 def prompt_inputs(prompt: str) -> tuple[int, ...]:
-    """Return the model's inputs for a prompt: one number for each word, at least one."""
+    """Return the model's inputs for a prompt: a checksum of each word, at least one."""
     words = prompt.split() or [""]
     return tuple(crc32(word.encode()) for word in words)
 
@@ -27,7 +27,7 @@
     """Run one layer on one position.
 
     Returns:
-      The layer's output, and its cache after the position.
+      The layer's output and its updated cache.
     """
     cache = crc32(_LAYER_INPUT.pack(layer, value, cache))
     return crc32(_LAYER_INPUT.pack(layer, value, cache)), cache
@@ -39,7 +39,7 @@
 
 
 def expected_tokens(depth: int, prompt: str, count: int) -> tuple[int, ...]:
-    """Return the answer that a model of `depth` layers gives when nothing fails."""
+    """Return the tokens that a model of `depth` layers generates when nothing fails."""
     caches = [0] * depth
     inputs: Sequence[int] = prompt_inputs(prompt)
     tokens: list[int] = []
--- a/deckcourse/standin_service.py
+++ b/deckcourse/standin_service.py
@@ -1,4 +1,4 @@
-"""A stand-in for a plain service: it counts what it ran, by the request's name."""
+"""A simulated plain service that records each call it executes."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class CallRun:
-    """The record of one call that was run."""
+    """The record of one executed call."""
 
     service: str
     request: str
@@ -22,7 +22,7 @@
 
 
 class StandinService:
-    """The service itself: each call takes a while, runs at its end, and echoes its body."""
+    """A simulated service: a call waits `seconds`, is then recorded and echoes its body."""
 
     def __init__(
         self,
@@ -31,51 +31,51 @@
         record: Callable[[CallRun], None] | None = None,
     ) -> None:
         self._name = name
-        self._seconds = seconds
+        self._call_seconds = seconds
         self._runs: list[CallRun] = []
         self._record = record or self._runs.append
-        self._dead = False
-        self._lose_replies = 0
+        self._killed = False
+        self._replies_to_lose = 0
         self._thawed = trio.Event()
         self._thawed.set()
 
     @property
     def runs(self) -> tuple[CallRun, ...]:
-        """The record of every call run."""
+        """All recorded calls, empty where another `record` function was given."""
         return tuple(self._runs)
 
     def kill(self) -> None:
-        """Die at once."""
-        self._dead = True
+        """Simulate a crash: running calls are lost, later ones find the service unreachable."""
+        self._killed = True
         self._thawed.set()
 
     def revive(self) -> None:
-        """Come back after `kill`; the record is kept."""
-        self._dead = False
+        """Restart after `kill`; the recorded calls are kept."""
+        self._killed = False
 
     def freeze(self) -> None:
-        """Stop answering until `thaw`."""
+        """Stop answering; running calls are suspended until `thaw`."""
         self._thawed = trio.Event()
 
     def thaw(self) -> None:
-        """Go on after `freeze`."""
+        """Resume after `freeze`."""
         self._thawed.set()
 
     def lose_replies(self, count: int = 1) -> None:
-        """Run the next calls but break the connection before the reply."""
-        self._lose_replies += count
+        """Execute the next `count` calls but break the connection before the reply."""
+        self._replies_to_lose += count
 
     async def call(self, call: ServiceCall) -> ServiceReply | Unreachable | Refused | Lost:
-        """Run a call."""
-        if self._dead:
+        """Execute a call."""
+        if self._killed:
             return Unreachable(self._name, "connection refused")
-        await trio.sleep(self._seconds)
+        await trio.sleep(self._call_seconds)
         await self._thawed.wait()
-        if self._dead:
+        if self._killed:
             return Lost(self._name, "connection reset")
         body = call.body.decode("utf-8", "replace")
         self._record(CallRun(self._name, call.request, call.path, body))
-        if self._lose_replies > 0:
-            self._lose_replies -= 1
+        if self._replies_to_lose > 0:
+            self._replies_to_lose -= 1
             return Lost(self._name, "connection reset")
         return ServiceReply(200, call.body or b"{}", call.content_type or "application/json")
--- a/deckcourse/standin_stage.py
+++ b/deckcourse/standin_stage.py
@@ -1,4 +1,4 @@
-"""What stand-in engines say to each other, and what kind of machine each plays."""
+"""The messages between simulated engines, and the properties of the machine each simulates."""
 
 from dataclasses import dataclass
 
@@ -9,9 +9,10 @@
 
 @dataclass(frozen=True)
 class EngineSpec:
-    """What kind of machine a stand-in plays; `layer_rate` in layers times tokens a second.
+    """The properties of a simulated machine; `layer_rate` is in layers times tokens per second.
 
-    It does `batch` streams at once: that many together reach the rate, one alone a part of it.
+    `batch` is the number of concurrent streams needed to reach that rate; a single stream gets
+    1/`batch` of it.
     """
 
     name: str
@@ -28,7 +29,7 @@
 
 @dataclass(frozen=True)
 class LayerRun:
-    """The record of one run: which layers, for which position of which request."""
+    """The record of one layer run: the layer range and the request's position it ran for."""
 
     engine: str
     request: str
@@ -40,7 +41,10 @@
 
 @dataclass(frozen=True)
 class StepCall:
-    """One stage's call to the next: the positions from `first` on, and the stages to come."""
+    """One stage's call to the next: the inputs of the positions from `first`, and the route.
+
+    `hops` starts with the called stage.
+    """
 
     request: str
     attempt: int
@@ -52,7 +56,7 @@
 
 @dataclass(frozen=True)
 class StepReply:
-    """The last position's final output, and the stages that it passed."""
+    """The output of the last stage for the last position, and the trace of the stages."""
 
     output: int
     trace: str
@@ -60,18 +64,18 @@
 
 @dataclass(frozen=True)
 class StepMissing:
-    """The stage holds nothing from `position` on; the caller sends from there."""
+    """The stage has no outputs from `position` on; the caller must send the inputs from there."""
 
     position: int
 
 
 class StandinStage(Engine):
-    """An engine that other engines can hand steps to."""
+    """An engine that other engines can call as a stage of a route."""
 
     async def step(self, call: StepCall) -> StepReply | StepMissing | EngineFailure:
-        """Run this stage's layers, and those of the stages after it."""
+        """Run the layers of this stage and of the following ones."""
         raise NotImplementedError
 
     async def finish(self, request: str, attempt: int, hops: tuple[Hop, ...]) -> None:
-        """Let go of what this stage, and those after it, hold of a request."""
+        """Release the request's session at this stage and the following ones."""
         raise NotImplementedError
