--- a/deckcourse/virtual_links.py
+++ b/deckcourse/virtual_links.py
@@ -1,4 +1,4 @@
-"""Links, pauses and named steps of a virtual site: where its faults are switched on."""
+"""Network links, process pauses and named steps of a virtual site, where faults are injected."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -8,11 +8,11 @@
 
 __all__ = ["Gate", "Links", "Step", "Steps"]
 
-CONNECT_SECONDS = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 
 
 class Step(StrEnum):
-    """The crossings of an interface at which a fault can come."""
+    """The interface calls at which a fault can be injected."""
 
     ADMIT = "admit"
     CLAIM = "claim"
@@ -32,43 +32,46 @@
 
 
 class Steps:
-    """Counts the steps reached, and does what was asked for at one of them."""
+    """Counts the steps reached, and runs the actions and reply losses scheduled for them."""
 
     def __init__(self) -> None:
         self._actions: dict[Step, list[Callable[[str], None]]] = {}
-        self._reached: Counter[Step] = Counter()
-        self._losses: Counter[Step] = Counter()
+        self._reach_counts: Counter[Step] = Counter()
+        self._reply_losses: Counter[Step] = Counter()
 
     @property
     def reached(self) -> dict[Step, int]:
-        """How often each step was reached."""
-        return dict(self._reached)
+        """The number of times that each step was reached."""
+        return dict(self._reach_counts)
 
     def at(self, step: Step, action: Callable[[str], None]) -> None:
-        """Do something the next time a step is reached; it's told who reached it."""
+        """Schedule an action for a step; it's called with the name of the process that reached it.
+
+        Each time the step is reached, one scheduled action runs, in the order of scheduling.
+        """
         self._actions.setdefault(step, []).append(action)
 
     def lose_reply(self, step: Step) -> None:
-        """Let the next reply of a step get lost after the step took effect."""
-        self._losses[step] += 1
+        """Schedule the loss of the step's next reply, after the step took effect."""
+        self._reply_losses[step] += 1
 
-    def take_loss(self, step: Step | None) -> bool:
-        """Return whether this reply is to get lost."""
-        if step is None or self._losses[step] == 0:
+    def consume_reply_loss(self, step: Step | None) -> bool:
+        """Return whether this reply must be lost, and use up one scheduled loss."""
+        if step is None or self._reply_losses[step] == 0:
             return False
-        self._losses[step] -= 1
+        self._reply_losses[step] -= 1
         return True
 
-    def reach(self, step: Step, by: str) -> None:
-        """Note that a step is reached."""
-        self._reached[step] += 1
+    def reach(self, step: Step, process: str) -> None:
+        """Count a step and run the next action scheduled for it."""
+        self._reach_counts[step] += 1
         actions = self._actions.get(step)
         if actions:
-            actions.pop(0)(by)
+            actions.pop(0)(process)
 
 
 class Gate:
-    """The pause of a process: while it's shut, nothing of the process goes on."""
+    """Pauses a process: its tasks wait at the gate while it's closed."""
 
     def __init__(self) -> None:
         self._open = trio.Event()
@@ -77,25 +80,25 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the process runs."""
+        """Whether the process isn't paused."""
         return self._open.is_set()
 
-    def shut(self) -> None:
+    def close(self) -> None:
         """Pause the process."""
         if self._open.is_set():
             self._open = trio.Event()
 
     def open(self) -> None:
-        """Let the process go on."""
+        """Resume the process."""
         self._open.set()
 
     def kill(self) -> None:
-        """Let nothing of the process go on any more; its tasks only wait to be cancelled."""
+        """Stop the process for good: its tasks wait at the gate until they're cancelled."""
         self._dead = True
         self._open.set()
 
     async def wait_open(self) -> None:
-        """Wait until the process goes on; no timeout of the process ends the wait."""
+        """Wait while the process is paused; its own timeouts don't end the wait."""
         if not self._open.is_set():
             with trio.CancelScope(shield=True):
                 await self._open.wait()
@@ -104,44 +107,44 @@
 
 
 class Links:
-    """The network between named processes: each pair's delay, and whether it's cut."""
+    """The simulated network: the delay of each pair of processes, and the pairs that are cut."""
 
     def __init__(self, delay: float = 0.0005) -> None:
-        self._delay = delay
-        self._slow: dict[frozenset[str], float] = {}
-        self._cut: dict[frozenset[str], trio.Event] = {}
+        self._default_delay = delay
+        self._delays: dict[frozenset[str], float] = {}
+        self._cuts: dict[frozenset[str], trio.Event] = {}
 
     def cut(self, one: str, other: str) -> None:
-        """Drop everything between two processes."""
-        self._cut.setdefault(frozenset((one, other)), trio.Event())
+        """Partition two processes; messages between them wait until `heal`."""
+        self._cuts.setdefault(frozenset((one, other)), trio.Event())
 
     def heal(self, one: str, other: str) -> None:
-        """Let everything through again; what was sent meanwhile arrives."""
-        healed = self._cut.pop(frozenset((one, other)), None)
+        """End the partition; messages sent during it are delivered."""
+        healed = self._cuts.pop(frozenset((one, other)), None)
         if healed is not None:
             healed.set()
 
     def slow(self, one: str, other: str, delay: float) -> None:
-        """Set the delay between two processes, in seconds one way."""
-        self._slow[frozenset((one, other))] = delay
+        """Set the one-way delay between two processes, in seconds."""
+        self._delays[frozenset((one, other))] = delay
 
     def is_cut(self, one: str, other: str) -> bool:
-        """Return whether nothing gets through."""
-        return frozenset((one, other)) in self._cut
+        """Return whether the two processes are partitioned."""
+        return frozenset((one, other)) in self._cuts
 
     async def connect(self, source: str, target: str) -> bool:
-        """Open a connection; return whether it could be opened in time."""
+        """Open a connection; return whether it opened before the connect timeout."""
         if self.is_cut(source, target):
-            with trio.move_on_after(CONNECT_SECONDS):
-                await self._cut[frozenset((source, target))].wait()
+            with trio.move_on_after(CONNECT_TIMEOUT_SECONDS):
+                await self._cuts[frozenset((source, target))].wait()
                 return True
             return False
         await self.cross(source, target)
         return True
 
     async def cross(self, source: str, target: str) -> None:
-        """Carry something one way; over a cut link it arrives after the healing."""
+        """Wait for a message's one-way delay; on a cut link it's delivered after `heal`."""
         pair = frozenset((source, target))
-        await trio.sleep(self._slow.get(pair, self._delay))
-        while pair in self._cut:
-            await self._cut[pair].wait()
+        await trio.sleep(self._delays.get(pair, self._default_delay))
+        while pair in self._cuts:
+            await self._cuts[pair].wait()
--- a/deckcourse/virtual_ports.py
+++ b/deckcourse/virtual_ports.py
@@ -1,4 +1,4 @@
-"""The ports of a process in a virtual site: in memory, over its links, with its steps named."""
+"""The in-memory ports of a process in a virtual site, over simulated links and named steps."""
 
 from collections.abc import AsyncIterator, Callable, Sequence
 from contextlib import aclosing, asynccontextmanager
@@ -37,7 +37,7 @@
 
 __all__ = [
     "PLATFORM",
-    "Crossing",
+    "ProcessNetwork",
     "VirtualEngine",
     "VirtualList",
     "VirtualObjects",
@@ -48,18 +48,18 @@
 ]
 
 PLATFORM = "platform"
-MID_STREAM_INDEX = 5
-PEER_SECONDS = 1.0
-PLATFORM_SECONDS = 1.5
+MID_STREAM_TOKEN_INDEX = 5
+PEER_TIMEOUT_SECONDS = 1.0
+PLATFORM_TIMEOUT_SECONDS = 1.5
 
 
-CLAIM_STEPS = {ClaimState.CLAIMED: Step.CLAIM, ClaimState.DONE: Step.RECORD_RESULT}
-PLAN_STEPS = {PlanState.PROPOSED: Step.PLAN, PlanState.CONFIRMED: Step.CONFIRM}
+CLAIM_STATE_STEPS = {ClaimState.CLAIMED: Step.CLAIM, ClaimState.DONE: Step.RECORD_RESULT}
+PLAN_STATE_STEPS = {PlanState.PROPOSED: Step.PLAN, PlanState.CONFIRMED: Step.CONFIRM}
 
 
 @dataclass(frozen=True)
-class Crossing:
-    """How one process reaches the others: its name, its pause, the links and the steps."""
+class ProcessNetwork:
+    """One process's access to the simulated network, with its pauses and its named steps."""
 
     source: str
     gate: Gate
@@ -67,35 +67,35 @@
     steps: Steps
 
     async def connect(self, target: str) -> bool:
-        """Open a connection."""
+        """Open a connection; return whether it opened before the connect timeout."""
         await self.gate.wait_open()
         opened = await self.links.connect(self.source, target)
         await self.gate.wait_open()
         return opened
 
-    async def back(self, target: str) -> None:
-        """Carry a reply back."""
+    async def receive_reply(self, target: str) -> None:
+        """Wait until a reply from `target` is delivered."""
         await self.links.cross(target, self.source)
         await self.gate.wait_open()
 
     def reach(self, step: Step) -> None:
-        """Note a step."""
+        """Record that this process reached a step."""
         self.steps.reach(step, self.source)
 
-    def loses(self, step: Step | None) -> bool:
-        """Return whether the reply of a step that took effect is to get lost."""
-        return self.steps.take_loss(step)
+    def consume_reply_loss(self, step: Step | None) -> bool:
+        """Return whether the reply of a step that took effect must be lost."""
+        return self.steps.consume_reply_loss(step)
 
 
-def _step_of(write: Write) -> Step | None:
+def _write_step(write: Write) -> Step | None:
     """Return the step that a write belongs to, if any."""
     value = write.value or b""
     if write.key.startswith(CLAIM_PREFIX):
-        return CLAIM_STEPS.get(_state(value))
+        return CLAIM_STATE_STEPS.get(_state(value))
     if write.key == LEASE_KEY:
         return Step.LEASE_RENEW
     if write.key.startswith(PLAN_PREFIX):
-        return PLAN_STEPS.get(_state(value))
+        return PLAN_STATE_STEPS.get(_state(value))
     return None
 
 
@@ -104,82 +104,82 @@
 
 
 class VirtualTable:
-    """The table service as one process reaches it."""
+    """One process's connection to the table service."""
 
-    def __init__(self, crossing: Crossing, table: TableService) -> None:
-        self._crossing = crossing
+    def __init__(self, network: ProcessNetwork, table: TableService) -> None:
+        self._network = network
         self._table = table
 
     async def read(self, keys: Sequence[str]) -> Result[tuple[Row | None, ...], TableFailure]:
-        """Return the rows of `keys`, None for each that is absent."""
-        with trio.move_on_after(PLATFORM_SECONDS):
-            if not await self._crossing.connect(PLATFORM):
+        """Return the rows of `keys`, None for each absent row."""
+        with trio.move_on_after(PLATFORM_TIMEOUT_SECONDS):
+            if not await self._network.connect(PLATFORM):
                 return Failure(TableFailure.UNAVAILABLE)
             result = await self._table.read(keys)
-            await self._crossing.back(PLATFORM)
+            await self._network.receive_reply(PLATFORM)
             return result
         return Failure(TableFailure.UNKNOWN)
 
     async def transact(self, writes: Sequence[Write]) -> Result[Committed | Conflict, TableFailure]:
-        """Do all writes or none."""
-        steps = sorted({_step_of(write) for write in writes} - {None})
+        """Execute all writes atomically, or none."""
+        steps = sorted({_write_step(write) for write in writes} - {None})
         for step in steps:
-            self._crossing.reach(step)
-        with trio.move_on_after(PLATFORM_SECONDS):
-            if not await self._crossing.connect(PLATFORM):
+            self._network.reach(step)
+        with trio.move_on_after(PLATFORM_TIMEOUT_SECONDS):
+            if not await self._network.connect(PLATFORM):
                 return Failure(TableFailure.UNAVAILABLE)
             result = await self._table.transact(writes)
             if any(write.key == HEAD_KEY for write in writes):
-                self._crossing.reach(Step.CONFIG_ACCEPT)
+                self._network.reach(Step.CONFIG_ACCEPT)
                 steps.append(Step.CONFIG_ACCEPT)
-            await self._crossing.back(PLATFORM)
-            if any(self._crossing.loses(step) for step in steps):
+            await self._network.receive_reply(PLATFORM)
+            if any(self._network.consume_reply_loss(step) for step in steps):
                 return Failure(TableFailure.UNKNOWN)
             return result
         return Failure(TableFailure.UNKNOWN)
 
 
 class VirtualObjects:
-    """The object store as one process reaches it."""
+    """One process's connection to the object store."""
 
-    def __init__(self, crossing: Crossing, store: ObjectStore) -> None:
-        self._crossing = crossing
+    def __init__(self, network: ProcessNetwork, store: ObjectStore) -> None:
+        self._network = network
         self._store = store
 
     async def get(self, name: str) -> Result[bytes | None, ObjectFailure]:
-        """Return the object, None where it's absent."""
-        if not await self._crossing.connect(PLATFORM):
+        """Return the object, None if it doesn't exist."""
+        if not await self._network.connect(PLATFORM):
             return Failure(ObjectFailure.UNAVAILABLE)
         return await self._store.get(name)
 
     async def put(self, name: str, value: bytes) -> Result[None, ObjectFailure]:
-        """Write the object."""
-        if not await self._crossing.connect(PLATFORM):
+        """Store the object."""
+        if not await self._network.connect(PLATFORM):
             return Failure(ObjectFailure.UNAVAILABLE)
         return await self._store.put(name, value)
 
 
 class VirtualList:
-    """The instance list as one process reaches it."""
+    """One process's connection to the instance list."""
 
-    def __init__(self, crossing: Crossing, instances) -> None:
-        self._crossing = crossing
+    def __init__(self, network: ProcessNetwork, instances) -> None:
+        self._network = network
         self._instances = instances
 
     async def instances(self) -> Result[tuple[ListedInstance, ...], ListFailure]:
-        """Return all lines of the list."""
-        if not await self._crossing.connect(PLATFORM):
+        """Return all instances of the list."""
+        if not await self._network.connect(PLATFORM):
             return Failure(ListFailure.UNAVAILABLE)
         result = await self._instances.instances()
-        await self._crossing.back(PLATFORM)
+        await self._network.receive_reply(PLATFORM)
         return result
 
 
 class VirtualEngine:
-    """An engine as one process reaches it."""
+    """One process's connection to an engine."""
 
-    def __init__(self, crossing: Crossing, target: str, engine: Callable[[], Engine]) -> None:
-        self._crossing = crossing
+    def __init__(self, network: ProcessNetwork, target: str, engine: Callable[[], Engine]) -> None:
+        self._network = network
         self._target = target
         self._engine = engine
 
@@ -188,57 +188,57 @@
         self, start: StreamStart
     ) -> AsyncIterator[AsyncIterator[tuple[Frame, ...]] | EngineFailure]:
         """Start or resume a stream."""
-        self._crossing.reach(Step.ROUTE)
-        if not await self._crossing.connect(self._target):
+        self._network.reach(Step.ROUTE)
+        if not await self._network.connect(self._target):
             yield Unreachable(self._target, "connect timeout")
             return
         async with self._engine().stream(start) as frames:
-            await self._crossing.back(self._target)
+            await self._network.receive_reply(self._target)
             if isinstance(frames, Unreachable | Refused | Lost):
                 yield frames
             else:
-                yield self._carry(frames)
+                yield self._relay_frames(frames)
 
-    async def _carry(self, frames) -> AsyncIterator[tuple[Frame, ...]]:
+    async def _relay_frames(self, frames) -> AsyncIterator[tuple[Frame, ...]]:
         async with aclosing(frames):
             async for batch in frames:
                 for frame in batch:
-                    self._reach(_frame_step(frame))
-                await self._crossing.back(self._target)
-                # As in a real read: a process that woke late meets its deadline here.
+                    self._reach_step(_frame_step(frame))
+                await self._network.receive_reply(self._target)
+                # As in a socket read: after a pause, an expired deadline takes effect here.
                 await trio.lowlevel.checkpoint()
                 yield batch
 
-    def _reach(self, step: Step | None) -> None:
+    def _reach_step(self, step: Step | None) -> None:
         if step is None:
             return
-        self._crossing.reach(step)
-        if self._crossing.loses(step):
+        self._network.reach(step)
+        if self._network.consume_reply_loss(step):
             raise StreamLostError(Lost(self._target, "connection reset"))
 
     async def load(self) -> EngineLoad | EngineFailure:
-        """Return the engine's report of itself."""
-        if not await self._crossing.connect(self._target):
+        """Return the engine's load report."""
+        if not await self._network.connect(self._target):
             return Unreachable(self._target, "connect timeout")
         reply = await self._engine().load()
-        await self._crossing.back(self._target)
+        await self._network.receive_reply(self._target)
         return reply
 
     async def order(self, order: Order) -> OrderReply | EngineFailure:
-        """Give a fenced order."""
-        self._crossing.reach(Step.ORDER)
-        if not await self._crossing.connect(self._target):
+        """Send a fenced order."""
+        self._network.reach(Step.ORDER)
+        if not await self._network.connect(self._target):
             return Unreachable(self._target, "connect timeout")
         reply = await self._engine().order(order)
-        self._crossing.reach(Step.ORDER_REPLY)
-        await self._crossing.back(self._target)
-        if self._crossing.loses(Step.ORDER_REPLY):
+        self._network.reach(Step.ORDER_REPLY)
+        await self._network.receive_reply(self._target)
+        if self._network.consume_reply_loss(Step.ORDER_REPLY):
             return Lost(self._target, "connection reset")
         return reply
 
     async def cancel(self, request: str, attempt: int) -> None:
-        """Stop a stream for good."""
-        if await self._crossing.connect(self._target):
+        """Cancel a stream."""
+        if await self._network.connect(self._target):
             await self._engine().cancel(request, attempt)
 
 
@@ -247,11 +247,11 @@
         return Step.FINISH
     if frame.index == 0:
         return Step.FIRST_TOKEN
-    return Step.MID_STREAM if frame.index == MID_STREAM_INDEX else None
+    return Step.MID_STREAM if frame.index == MID_STREAM_TOKEN_INDEX else None
 
 
 class VirtualStage(StandinStage):
-    """The next stage of a route, over the link between the two engines."""
+    """A connection to the next stage of a route, over the link between the two engines."""
 
     def __init__(
         self, links: Links, source: str, hop: Hop, stage: Callable[[], StandinStage]
@@ -262,7 +262,7 @@
         self._stage = stage
 
     async def step(self, call: StepCall) -> StepReply | StepMissing | EngineFailure:
-        """Run this stage's layers, and those of the stages after it."""
+        """Run the layers of that stage and of the following ones."""
         if not await self._links.connect(self._source, self._target):
             return Unreachable(self._target, "connect timeout")
         reply = await self._stage().step(call)
@@ -270,50 +270,52 @@
         return reply
 
     async def finish(self, request: str, attempt: int, hops: tuple[Hop, ...]) -> None:
-        """Let go of what this stage, and those after it, hold of a request."""
+        """Release the request's session at that stage and the following ones."""
         if await self._links.connect(self._source, self._target):
             await self._stage().finish(request, attempt, hops)
 
 
 class VirtualService:
-    """A plain service as one process reaches it."""
+    """One process's connection to a plain service."""
 
-    def __init__(self, crossing: Crossing, target: str, service: PlainService) -> None:
-        self._crossing = crossing
+    def __init__(self, network: ProcessNetwork, target: str, service: PlainService) -> None:
+        self._network = network
         self._target = target
         self._service = service
 
     async def call(self, call: ServiceCall) -> ServiceReply | Unreachable | Refused | Lost:
-        """Send the call once."""
-        self._crossing.reach(Step.CALL)
-        if not await self._crossing.connect(self._target):
+        """Send the call, without retries."""
+        self._network.reach(Step.CALL)
+        if not await self._network.connect(self._target):
             return Unreachable(self._target, "connect timeout")
         reply = await self._service.call(call)
-        await self._crossing.back(self._target)
-        if self._crossing.loses(Step.CALL):
+        await self._network.receive_reply(self._target)
+        if self._network.consume_reply_loss(Step.CALL):
             return Lost(self._target, "connection reset")
         return reply
 
 
 class VirtualPeerLink:
-    """The way from one process to another; `answer` is None while that one is dead."""
+    """A link to a peer; `get_handler` returns the peer's handler, None while the peer is dead."""
 
-    def __init__(self, crossing: Crossing, target: str, answer: Callable[[], Callable | None]):
-        self._crossing = crossing
+    def __init__(
+        self, network: ProcessNetwork, target: str, get_handler: Callable[[], Callable | None]
+    ):
+        self._network = network
         self._target = target
-        self._answer = answer
+        self._get_handler = get_handler
 
     async def exchange(self, message: Exchange) -> Exchange | None:
-        """Send a message and return the peer's, None where it can't be had in time."""
+        """Send a message and return the reply, None if there is none before the timeout."""
         if message.changes or message.snapshot is not None:
-            self._crossing.reach(Step.CONFIG_SPREAD)
-        with trio.move_on_after(PEER_SECONDS):
-            if not await self._crossing.connect(self._target):
+            self._network.reach(Step.CONFIG_SPREAD)
+        with trio.move_on_after(PEER_TIMEOUT_SECONDS):
+            if not await self._network.connect(self._target):
                 return None
-            answer = self._answer()
-            if answer is None:
+            handler = self._get_handler()
+            if handler is None:
                 return None
-            reply = await answer(message)
-            await self._crossing.back(self._target)
-            return None if self._crossing.loses(Step.CONFIG_SPREAD) else reply
+            reply = await handler(message)
+            await self._network.receive_reply(self._target)
+            return None if self._network.consume_reply_loss(Step.CONFIG_SPREAD) else reply
         return None
--- a/deckcourse/virtual_site.py
+++ b/deckcourse/virtual_site.py
@@ -1,4 +1,4 @@
-"""A whole site in memory for a virtual clock: what it runs, and the faults that can hit it."""
+"""An emulated site, in memory and on a virtual clock, and the faults that can be injected."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field, replace
@@ -25,7 +25,7 @@
 from deckcourse.table import MemoryTable
 from deckcourse.virtual_links import Gate, Links, Step, Steps
 from deckcourse.virtual_ports import (
-    Crossing,
+    ProcessNetwork,
     VirtualEngine,
     VirtualList,
     VirtualObjects,
@@ -40,12 +40,12 @@
 
 @dataclass(frozen=True)
 class Broken:
-    """What a caller sees of an entry that died: a connection that broke."""
+    """The caller's result when the entry was killed: its connection broke."""
 
 
 @dataclass(frozen=True)
 class VirtualPlan:
-    """What a virtual site is made of."""
+    """The composition of a virtual site."""
 
     entries: int = 2
     controllers: int = 2
@@ -59,7 +59,7 @@
 
 
 class Process:
-    """One process of the system: it can be paused, and killed and started again."""
+    """One process of the system; it can be paused, killed and restarted."""
 
     def __init__(self, name: str, role: str, domain: str) -> None:
         self.name = name
@@ -73,12 +73,12 @@
 
     @property
     def alive(self) -> bool:
-        """Whether the process runs, paused or not."""
+        """Whether the process was started and not killed; a paused one is alive."""
         return self.node is not None and not self.dead.is_set()
 
 
 class VirtualSite:
-    """The running parts, by name."""
+    """The engines, services and processes of a site, by name."""
 
     def __init__(self, plan: VirtualPlan) -> None:
         self.plan = plan
@@ -103,8 +103,8 @@
         for number, (name, service) in enumerate(self.plan.services.items()):
             self.services[name] = StandinService(name)
             domain = self._domain(number)
-            line = ListedInstance(name, 1, InstanceKind.SERVICE, name, domain, service=service)
-            self.memory_list.put(line)
+            instance = ListedInstance(name, 1, InstanceKind.SERVICE, name, domain, service=service)
+            self.memory_list.put(instance)
         for number in range(self.plan.entries):
             self._add_process(f"entry-{number + 1}", ENTRY_ROLE, number)
         for number in range(self.plan.controllers):
@@ -115,7 +115,7 @@
 
     def _add_process(self, name: str, role: str, number: int) -> None:
         self.processes[name] = Process(name, role, self._domain(number))
-        line = ListedInstance(
+        instance = ListedInstance(
             name,
             1,
             InstanceKind.ROUTER,
@@ -123,10 +123,10 @@
             self._domain(number),
             peer_addresses=(_peer_address(name),),
         )
-        self.memory_list.put(line)
+        self.memory_list.put(instance)
 
     def add_engine(self, spec: EngineSpec) -> StandinEngine:
-        """Add an engine, or a new incarnation of one, and list it."""
+        """Add an engine, or a new incarnation of one, to the site and to the instance list."""
         if spec.name in self.engines:
             self.past_engines.append(self.engines[spec.name])
 
@@ -141,24 +141,24 @@
         return engine
 
     def restart_engine(self, name: str) -> StandinEngine:
-        """Give an instance's name to a new, empty incarnation."""
+        """Kill an engine and replace it by a new incarnation without loaded layers."""
         spec = self.engines[name].spec
         self.engines[name].kill()
         return self.add_engine(replace(spec, incarnation=spec.incarnation + 1))
 
     @property
     def every_engine(self) -> list[StandinEngine]:
-        """All engines, earlier incarnations too."""
+        """All engines, including earlier incarnations."""
         return [*self.past_engines, *self.engines.values()]
 
     @property
     def entries(self) -> list[Process]:
-        """The entries that run."""
+        """The entries that are alive."""
         return [each for each in self.processes.values() if each.entry and each.alive]
 
     @property
     def controllers(self) -> list[Process]:
-        """The controllers that run."""
+        """The controllers that are alive."""
         return [each for each in self.processes.values() if each.controller and each.alive]
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
@@ -171,7 +171,7 @@
             await trio.sleep_forever()
 
     def start(self, name: str) -> None:
-        """Start a process, or start it again with nothing kept."""
+        """Start a process, or restart it without its previous state."""
         process = self.processes[name]
         process.gate = Gate()
         process.dead = trio.Event()
@@ -188,10 +188,12 @@
             process.entry = self.plan.new_entry(process.node)
             self._nursery.start_soon(self._run_process, process, process.entry.run)
         else:
-            process.controller = Controller(process.node, self.plan.link_rate, self._plan_name)
+            process.controller = Controller(
+                process.node, self.plan.link_rate, self._random_plan_name
+            )
             self._nursery.start_soon(self._run_process, process, process.controller.run)
 
-    def _plan_name(self) -> str:
+    def _random_plan_name(self) -> str:
         return f"{self.random.getrandbits(32):08x}"
 
     async def _run_process(self, process: Process, run: Callable[[], Awaitable[None]]) -> None:
@@ -202,7 +204,7 @@
             nursery.cancel_scope.cancel()
 
     def kill(self, name: str) -> None:
-        """Kill a process or an engine; a paused one dies too."""
+        """Kill a process, an engine or a service, also while it's paused."""
         if name in self.engines:
             self.engines[name].kill()
             return
@@ -216,45 +218,45 @@
     def freeze(self, name: str) -> None:
         """Pause a process, an engine or a service."""
         if name in self.processes:
-            self.processes[name].gate.shut()
+            self.processes[name].gate.close()
         else:
             (self.engines.get(name) or self.services[name]).freeze()
 
     def thaw(self, name: str) -> None:
-        """Let a paused one go on."""
+        """Resume a paused process, engine or service."""
         if name in self.processes:
             self.processes[name].gate.open()
         else:
             (self.engines.get(name) or self.services[name]).thaw()
 
     def platform_out(self, out: bool) -> None:
-        """Switch the platform's outage."""
+        """Start or end an outage of the platform's services."""
         for service in (self.table, self.objects, self.list):
             service.out = out
 
     def platform_delay(self, seconds: float) -> None:
-        """Set how long the platform takes for an answer."""
+        """Set the response delay of the platform's services."""
         for service in (self.table, self.objects, self.list):
             service.delay = seconds
 
     def _ports(self, process: Process) -> Ports:
-        crossing = Crossing(process.name, process.gate, self.links, self.steps)
+        network = ProcessNetwork(process.name, process.gate, self.links, self.steps)
         return Ports(
-            table=VirtualTable(crossing, self.table),
-            objects=VirtualObjects(crossing, self.objects),
-            instance_list=VirtualList(crossing, self.list),
+            table=VirtualTable(network, self.table),
+            objects=VirtualObjects(network, self.objects),
+            instance_list=VirtualList(network, self.list),
             engine=lambda instance, address: VirtualEngine(
-                crossing, instance, lambda: self.engines[instance]
+                network, instance, lambda: self.engines[instance]
             ),
             service=lambda upstream, fresh: VirtualService(
-                crossing, upstream.name, self.services[upstream.name]
+                network, upstream.name, self.services[upstream.name]
             ),
             peer=lambda address: VirtualPeerLink(
-                crossing, _peer_name(address), lambda: self._answer(_peer_name(address))
+                network, _peer_name(address), lambda: self._peer_handler(_peer_name(address))
             ),
         )
 
-    def _answer(self, name: str):
+    def _peer_handler(self, name: str):
         process = self.processes[name]
         if not process.alive:
             return None
@@ -268,7 +270,7 @@
     async def complete(
         self, entry: str, completion: Completion, sink: TokenSink
     ) -> Outcome | Broken:
-        """Ask an entry for a completion."""
+        """Request a completion from an entry."""
         process = self.processes[entry]
         self.steps.reach(Step.ADMIT, entry)
 
@@ -279,10 +281,10 @@
         return await self._within(process, lambda: process.entry.complete(completion, gated_sink))
 
     async def intend(self, message: dict) -> None:
-        """State an intent and confirm its plan, as an operator.
+        """Propose a plan for an intent and confirm it, as an operator does.
 
         Raises:
-          InvariantError: the plan was refused or not accepted.
+          InvariantError: the intent was refused or its plan was not confirmed.
         """
         process = next(iter(self.controllers))
         plan = await process.controller.propose(message)
@@ -293,7 +295,7 @@
             raise InvariantError(f"{message}: {result}")
 
     async def call(self, entry: str, request: ServiceRequest) -> Outcome | Broken:
-        """Ask an entry to call a plain service."""
+        """Call a plain service through an entry."""
         process = self.processes[entry]
         return await self._within(process, lambda: process.entry.call(request))
 
@@ -303,26 +305,26 @@
         await process.gate.wait_open()
         result: Outcome | Broken = Broken()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(_cancel_when, process.dead, nursery.cancel_scope)
-            done = await work()
+            nursery.start_soon(_cancel_on_event, process.dead, nursery.cancel_scope)
+            outcome = await work()
             await process.gate.wait_open()
             if not process.dead.is_set():
-                result = done
+                result = outcome
             nursery.cancel_scope.cancel()
         return result
 
 
-PEER_SUFFIX = " peers"
+PEER_ADDRESS_SUFFIX = " peers"
 
 
 def _peer_address(name: str) -> str:
-    return name + PEER_SUFFIX
+    return name + PEER_ADDRESS_SUFFIX
 
 
 def _peer_name(address: str) -> str:
-    return address.removesuffix(PEER_SUFFIX)
+    return address.removesuffix(PEER_ADDRESS_SUFFIX)
 
 
-async def _cancel_when(event: trio.Event, scope: trio.CancelScope) -> None:
+async def _cancel_on_event(event: trio.Event, scope: trio.CancelScope) -> None:
     await event.wait()
     scope.cancel()
