--- a/deckcourse/standin_daemon.py
+++ b/deckcourse/standin_daemon.py
@@ -1,4 +1,4 @@
-"""The program deckcourse-standin: one stand-in of an outside system, for trials and tests."""
+"""The program deckcourse-standin: simulates one external system, for trials and tests."""
 
 import sys
 from collections.abc import Awaitable, Callable
@@ -33,8 +33,8 @@
     domain: Annotated[str, cappa.Arg(long=True, help="the failure domain")] = "a"
     incarnation: Annotated[int, cappa.Arg(long=True)] = 1
     layer_rate: Annotated[float, cappa.Arg(long=True, help="layers times tokens/s")] = 2000.0
-    layer_room: Annotated[int, cappa.Arg(long=True, help="the most layers it holds")] = 8
-    runs: Annotated[str, cappa.Arg(long=True, help="file for the record of runs")] = ""
+    layer_room: Annotated[int, cappa.Arg(long=True, help="maximum number of layers")] = 8
+    runs: Annotated[str, cappa.Arg(long=True, help="file to which each execution is appended")] = ""
 
 
 @dataclass
@@ -44,8 +44,8 @@
 
     name: Annotated[str, cappa.Arg(help="the instance's name")]
     listen: Annotated[str, cappa.Arg(help="IP:port")]
-    seconds: Annotated[float, cappa.Arg(long=True, help="how long a call takes")] = 0.02
-    runs: Annotated[str, cappa.Arg(long=True, help="file for the record of runs")] = ""
+    seconds: Annotated[float, cappa.Arg(long=True, help="duration of a call in seconds")] = 0.02
+    runs: Annotated[str, cappa.Arg(long=True, help="file to which each execution is appended")] = ""
 
 
 @dataclass
@@ -54,19 +54,19 @@
     """The table service, the object store and the instance list."""
 
     listen: Annotated[str, cappa.Arg(help="IP:port")]
-    instances: Annotated[str, cappa.Arg(long=True, help="JSON file with the list")] = ""
-    lag: Annotated[float, cappa.Arg(long=True, help="seconds that the list lags")] = 0.0
+    instances: Annotated[str, cappa.Arg(long=True, help="JSON file with the instance list")] = ""
+    lag: Annotated[float, cappa.Arg(long=True, help="staleness of the list in seconds")] = 0.0
 
 
 @dataclass
 class StandinCommand:
-    """Run one stand-in of an outside system on loopback."""
+    """Run one simulated external system on loopback."""
 
     kind: cappa.Subcommands[EngineCommand | ServiceCommand | PlatformCommand]
 
 
-def _recorder(path: str) -> Callable[[object], None] | None:
-    """Return a function that appends each record to a file at once, None for no file."""
+def _file_recorder(path: str) -> Callable[[object], None] | None:
+    """Return a function that appends each record to a file unbuffered, None without a path."""
     if not path:
         return None
     file = open(path, "ab", buffering=0)  # noqa: SIM115 - open as long as the process runs
@@ -77,7 +77,7 @@
     return record
 
 
-def _app(command: StandinCommand) -> Callable[[Request], Awaitable[None]]:
+def _make_app(command: StandinCommand) -> Callable[[Request], Awaitable[None]]:
     match command.kind:
         case EngineCommand() as kind:
             pool = kept_pool()
@@ -90,15 +90,15 @@
                 kind.layer_room,
             )
             dial = partial(HttpStage, pool)
-            return EngineApp(StandinEngine(spec, dial, _recorder(kind.runs)))
+            return EngineApp(StandinEngine(spec, dial, _file_recorder(kind.runs)))
         case ServiceCommand() as kind:
-            return ServiceApp(StandinService(kind.name, kind.seconds, _recorder(kind.runs)))
+            return ServiceApp(StandinService(kind.name, kind.seconds, _file_recorder(kind.runs)))
         case PlatformCommand() as kind:
-            return PlatformApp(_instances(kind.instances), kind.lag)
-    raise SystemExit(f"no such kind: {command.kind}")
+            return PlatformApp(_read_instances(kind.instances), kind.lag)
+    raise SystemExit(f"unknown kind of stand-in: {command.kind}")
 
 
-def _instances(path: str) -> tuple[ListedInstance, ...]:
+def _read_instances(path: str) -> tuple[ListedInstance, ...]:
     if not path:
         return ()
     with open(path, "rb") as file:
@@ -107,7 +107,7 @@
 
 async def _run(command: StandinCommand) -> int:
     stop = trio.Event()
-    run = partial(serve, _app(command), command.kind.listen, stop, 0.2)
+    run = partial(serve, _make_app(command), command.kind.listen, stop, 0.2)
     return await run_until_stopped(run, stop.set, "deckcourse-standin")
 
 
--- a/deckcourse/standin_engine_http.py
+++ b/deckcourse/standin_engine_http.py
@@ -1,4 +1,4 @@
-"""The stand-in engine behind an HTTP listener, and the way from one to the next."""
+"""HTTP handlers of the simulated engine and service, and the HTTP client of the next stage."""
 
 from contextlib import aclosing
 
@@ -47,101 +47,101 @@
 FINISH_PATH = "/standin/finish"
 LEAVE_PATH = "/standin/leave"
 RUNS_PATH = "/standin/runs"
-LARGEST_BODY = 4 * 1024 * 1024
-NOT_FOUND = 404
+MAX_BODY_BYTES = 4 * 1024 * 1024
+NOT_FOUND_STATUS = 404
 MISSING_STATUS = 410
 LOST_STATUS = 502
-STEP_SECONDS = 30.0
-FINISH_SECONDS = 0.5
+STEP_TIMEOUT_SECONDS = 30.0
+FINISH_TIMEOUT_SECONDS = 0.5
 
 
 class HttpStage(StandinStage):
-    """The next stage of a route, reached by HTTP."""
+    """An HTTP connection to the next stage of a route."""
 
     def __init__(self, pool: httpcore.AsyncConnectionPool, hop: Hop) -> None:
         self._pool = pool
         self._hop = hop
-        self._base = f"http://{hop.address}"
+        self._base_url = f"http://{hop.address}"
 
     async def step(self, call: StepCall) -> StepReply | StepMissing | EngineFailure:
-        """Run this stage's layers, and those of the stages after it."""
-        deadline = trio.current_time() + STEP_SECONDS
+        """Run the layers of that stage and of the following ones."""
+        deadline = trio.current_time() + STEP_TIMEOUT_SECONDS
         body = msgspec.json.encode(call)
-        reply = await http_call(self._pool, "POST", self._base + STEP_PATH, body, (), deadline)
+        reply = await http_call(self._pool, "POST", self._base_url + STEP_PATH, body, (), deadline)
         if isinstance(reply, NotSent):
             return Unreachable(self._hop.instance, reply.message)
         if not isinstance(reply, HttpReply):
             return Lost(self._hop.instance, reply.message)
-        kinds = {200: StepReply, MISSING_STATUS: StepMissing, REFUSED_STATUS: Refused}
-        return msgspec.json.decode(reply.body, type=kinds.get(reply.status, Lost))
+        reply_types = {200: StepReply, MISSING_STATUS: StepMissing, REFUSED_STATUS: Refused}
+        return msgspec.json.decode(reply.body, type=reply_types.get(reply.status, Lost))
 
     async def finish(self, request: str, attempt: int, hops: tuple[Hop, ...]) -> None:
-        """Let go of what this stage, and those after it, hold of a request."""
-        deadline = trio.current_time() + FINISH_SECONDS
+        """Release the request's session at that stage and the following ones."""
+        deadline = trio.current_time() + FINISH_TIMEOUT_SECONDS
         body = msgspec.json.encode({"request": request, "attempt": attempt, "hops": hops})
-        await http_call(self._pool, "POST", self._base + FINISH_PATH, body, (), deadline)
+        await http_call(self._pool, "POST", self._base_url + FINISH_PATH, body, (), deadline)
 
 
 class EngineApp:
-    """Answers the engine's callers."""
+    """The HTTP handlers of a simulated engine."""
 
     def __init__(self, engine: StandinEngine) -> None:
         self._engine = engine
         self._handlers = {
-            STREAMS_PATH: self._stream,
-            LOAD_PATH: self._load,
-            LOAD_MODEL_PATH: self._order_load,
-            UNLOAD_PATH: self._order_unload,
-            CANCEL_PATH: self._cancel,
-            STEP_PATH: self._step,
-            FINISH_PATH: self._finish,
-            LEAVE_PATH: self._leave,
-            RUNS_PATH: self._runs,
+            STREAMS_PATH: self._handle_stream,
+            LOAD_PATH: self._handle_load,
+            LOAD_MODEL_PATH: self._handle_load_order,
+            UNLOAD_PATH: self._handle_unload_order,
+            CANCEL_PATH: self._handle_cancel,
+            STEP_PATH: self._handle_step,
+            FINISH_PATH: self._handle_finish,
+            LEAVE_PATH: self._handle_leave,
+            RUNS_PATH: self._handle_runs,
         }
 
     async def __call__(self, request: Request) -> None:
-        """Answer one request."""
-        body = await read_body(request, LARGEST_BODY)
+        """Handle one HTTP request."""
+        body = await read_body(request, MAX_BODY_BYTES)
         handler = self._handlers.get(request.path)
         if handler is None or isinstance(body, BodyTooLarge):
-            await send_whole(request, NOT_FOUND, b"")
+            await send_whole(request, NOT_FOUND_STATUS, b"")
             return
         await handler(request, body)
 
-    async def _load(self, request: Request, body: bytes) -> None:
-        await self._send(request, await self._engine.load())
+    async def _handle_load(self, request: Request, body: bytes) -> None:
+        await self._send_reply(request, await self._engine.load())
 
-    async def _order_load(self, request: Request, body: bytes) -> None:
+    async def _handle_load_order(self, request: Request, body: bytes) -> None:
         order = msgspec.json.decode(body, type=LoadOrder)
-        await self._send(request, await self._engine.order(order))
+        await self._send_reply(request, await self._engine.order(order))
 
-    async def _order_unload(self, request: Request, body: bytes) -> None:
+    async def _handle_unload_order(self, request: Request, body: bytes) -> None:
         order = msgspec.json.decode(body, type=UnloadOrder)
-        await self._send(request, await self._engine.order(order))
+        await self._send_reply(request, await self._engine.order(order))
 
-    async def _cancel(self, request: Request, body: bytes) -> None:
+    async def _handle_cancel(self, request: Request, body: bytes) -> None:
         fields = msgspec.json.decode(body)
         await self._engine.cancel(fields["request"], fields["attempt"])
         await send_json(request, 200, {})
 
-    async def _step(self, request: Request, body: bytes) -> None:
+    async def _handle_step(self, request: Request, body: bytes) -> None:
         call = msgspec.json.decode(body, type=StepCall)
-        await self._send(request, await self._engine.step(call))
+        await self._send_reply(request, await self._engine.step(call))
 
-    async def _finish(self, request: Request, body: bytes) -> None:
+    async def _handle_finish(self, request: Request, body: bytes) -> None:
         fields = msgspec.json.decode(body)
         hops = msgspec.convert(fields["hops"], tuple[Hop, ...])
         await self._engine.finish(fields["request"], fields["attempt"], hops)
         await send_json(request, 200, {})
 
-    async def _leave(self, request: Request, body: bytes) -> None:
+    async def _handle_leave(self, request: Request, body: bytes) -> None:
         self._engine.leave()
         await send_json(request, 200, {})
 
-    async def _runs(self, request: Request, body: bytes) -> None:
+    async def _handle_runs(self, request: Request, body: bytes) -> None:
         await send_json(request, 200, self._engine.runs)
 
-    async def _send(self, request: Request, reply) -> None:
+    async def _send_reply(self, request: Request, reply) -> None:
         status = 200
         if isinstance(reply, Refused):
             status = REFUSED_STATUS
@@ -151,11 +151,11 @@
             status = LOST_STATUS
         await send_json(request, status, reply)
 
-    async def _stream(self, request: Request, body: bytes) -> None:
+    async def _handle_stream(self, request: Request, body: bytes) -> None:
         start = msgspec.json.decode(body, type=StreamStart)
         async with self._engine.stream(start) as frames:
             if isinstance(frames, Refused | Lost | Unreachable):
-                await self._send(request, frames)
+                await self._send_reply(request, frames)
                 return
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(cancel_when_gone, request, nursery.cancel_scope)
@@ -180,14 +180,14 @@
 
 
 class ServiceApp:
-    """Answers the callers of a stand-in service."""
+    """The HTTP handlers of a simulated service."""
 
     def __init__(self, service: StandinService) -> None:
         self._service = service
 
     async def __call__(self, request: Request) -> None:
-        """Answer one request."""
-        body = await read_body(request, LARGEST_BODY)
+        """Handle one HTTP request."""
+        body = await read_body(request, MAX_BODY_BYTES)
         if isinstance(body, BodyTooLarge):
             await send_whole(request, 413, b"")
             return
@@ -203,7 +203,7 @@
         )
         reply = await self._service.call(call)
         if isinstance(reply, ServiceReply):
-            kind = reply.content_type.encode("latin-1")
-            await send_whole(request, reply.status, reply.body, kind)
+            content_type = reply.content_type.encode("latin-1")
+            await send_whole(request, reply.status, reply.body, content_type)
         else:
             await send_whole(request, LOST_STATUS, b"")
