--- a/deckcourse/virtual_links.py
+++ b/deckcourse/virtual_links.py
@@ -98,7 +98,10 @@
         self._open.set()
 
     async def wait_open(self) -> None:
-        """Wait while the process is paused; its own timeouts don't end the wait."""
+        """Wait while the process is paused; its own timeouts don't end the wait.
+
+        After `kill` the wait ends only by cancellation.
+        """
         if not self._open.is_set():
             with trio.CancelScope(shield=True):
                 await self._open.wait()
