--- a/deckcourse/baselines.py
+++ b/deckcourse/baselines.py
@@ -1,4 +1,4 @@
-"""Baselines that the router's own policies are measured against; not for serving."""
+"""Baseline policies to compare the router's own with in experiments; not for production."""
 
 from collections.abc import Sequence
 from itertools import count
@@ -14,20 +14,20 @@
 
 
 class RoundRobinRouter(Router):
-    """Takes the replicas of each stage in turn."""
+    """A router that picks placements in turn, with one counter for all stages."""
 
     def __init__(self, membership: Membership, random: Random) -> None:
         super().__init__(membership, random)
-        self._turn = count()
+        self._pick_count = count()
 
     def _pick(
         self, configuration: Configuration, options: Sequence[Placement], source: str
     ) -> Placement:
-        return options[next(self._turn) % len(options)]
+        return options[next(self._pick_count) % len(options)]
 
 
 class LeastInFlightRouter(Router):
-    """Takes the replica with the fewest streams of this entry."""
+    """A router that picks the placement with the fewest streams in flight from this entry."""
 
     def _pick(
         self, configuration: Configuration, options: Sequence[Placement], source: str
@@ -36,9 +36,9 @@
 
 
 class NoAdmission(Admission):
-    """Lets everything in at once."""
+    """Admission control that admits every request immediately."""
 
     async def enter(self, request: AdmissionRequest) -> NotRun | None:
-        """Let the request run."""
+        """Admit the request."""
         self._running += 1
         return None
--- a/deckcourse/layer_bench.py
+++ b/deckcourse/layer_bench.py
@@ -1,7 +1,8 @@
-"""An experiment with the placement of layers: how long a lost upstream leaves a model broken.
+"""An experiment with layer placement: how long lost hosts leave a model incomplete.
 
-Hosts of three mixed failure domains are placed, some are lost by a seed, and a policy plans until
-every layer is held again. Nothing else goes on; the time is that of the loads.
+Layers are placed on the hosts of each of three mixed failure domains, a seeded draw removes some
+hosts, and a policy plans rounds of loads until every layer is held again. No requests run; the time
+is that of the loads and a fixed overhead per round.
 """
 
 from collections.abc import Callable, Sequence
@@ -18,7 +19,7 @@
 
 __all__ = ["LAYER_POLICIES", "bench_layers"]
 
-# A model of 80 layers on three kinds of accelerators of different memory and speed.
+# A model of 80 layers on three kinds of accelerators that differ in memory and speed.
 MODEL = ModelSpec(
     "m",
     layers=80,
@@ -26,7 +27,7 @@
     load_seconds=14.0,
     cache_bytes=918_000.0,
     parallel_loads=6,
-    # So many requests may begin at a host that memory alone bounds what a copy takes.
+    # High enough that only memory limits how many requests a copy of the model takes.
     requests=10_000,
     kinds={
         "large": AcceleratorKind("large", 36_000.0, 3.1, 3.2),
@@ -39,112 +40,115 @@
     ("large",) + ("middle",) * 5 + ("small",) * 8,
     ("large",) + ("middle",) * 7 + ("small",) * 5,
 )
-# From the end of one round to the orders of the next, seconds: rows arrive and a plan is written.
-ROUND_SECONDS = 0.2
-MOST_ROUNDS = 20
+# Between the end of a round and the orders of the next: rows arrive and a plan is written.
+ROUND_OVERHEAD_SECONDS = 0.2
+MAX_ROUNDS = 20
 
 Planner = Callable[[Sequence[LayerHost]], Sequence[Assignment]]
 
 
-def _moving(hosts: Sequence[LayerHost]) -> Sequence[Assignment]:
+def _plan_moving(hosts: Sequence[LayerHost]) -> Sequence[Assignment]:
     groups = groups_of(MODEL, hosts)
     return plan_group(MODEL, groups[0]) if groups else ()
 
 
-def _widening(hosts: Sequence[LayerHost]) -> Sequence[Assignment]:
-    """Plan as before hosts were moved: ranges are widened from host to host."""
+def _plan_widening(hosts: Sequence[LayerHost]) -> Sequence[Assignment]:
+    """Plan without relocating hosts: a gap is closed by widening ranges from host to host."""
     groups = groups_of(MODEL, hosts)
-    # In a group that counts as open, nobody is taken from its place.
+    # Hosts of an open group are not relocated.
     return plan_group(MODEL, replace(groups[0], open=True)) if groups else ()
 
 
-def _afresh(hosts: Sequence[LayerHost]) -> Sequence[Assignment]:
-    """Cut the model anew in proportion to memory, whoever holds what."""
+def _plan_afresh(hosts: Sequence[LayerHost]) -> Sequence[Assignment]:
+    """Slice the model in proportion to memory, regardless of the layers held."""
     ordered = sorted(hosts, key=lambda each: (each.first, each.instance))
     return slice_model(MODEL, ordered, "afresh")
 
 
 LAYER_POLICIES: dict[str, Planner] = {
-    "moving": _moving,
-    "widening": _widening,
-    "afresh": _afresh,
+    "moving": _plan_moving,
+    "widening": _plan_widening,
+    "afresh": _plan_afresh,
 }
 
 
 def bench_layers(policy: str, lost: int, runs: int, seed: int) -> dict[str, Any]:
-    """Lose hosts of each domain in `runs` draws; return how long the model was broken.
+    """Remove `lost` hosts of each domain in `runs` draws; return how long the model is incomplete.
 
-    `places` is how many usual requests the fullest host leaves room for once the model is whole.
+    Draws that leave every layer held are skipped. `places` is how many usual requests fit into the
+    KV cache of the fullest host once every layer is held again.
     """
     seconds: list[float] = []
-    places: list[float] = []
-    rounds: list[int] = []
-    never = 0
+    request_capacities: list[float] = []
+    round_counts: list[int] = []
+    unrecovered = 0
     for kinds in DOMAINS:
-        placed = _placed(kinds)
+        initial_hosts = _initial_hosts(kinds)
         random = Random(seed)
         for _ in range(runs):
-            hosts = random.sample(placed, len(placed) - lost)
+            hosts = random.sample(initial_hosts, len(initial_hosts) - lost)
             if not gaps(MODEL, hosts, 1):
                 continue
-            taken, count, after = _until_whole(LAYER_POLICIES[policy], hosts)
-            if after is None:
-                never += 1
+            elapsed_seconds, round_count, recovered_hosts = _run_until_covered(
+                LAYER_POLICIES[policy], hosts
+            )
+            if recovered_hosts is None:
+                unrecovered += 1
                 continue
-            seconds.append(taken)
-            rounds.append(count)
-            places.append(min(map(_places, after)))
+            seconds.append(elapsed_seconds)
+            round_counts.append(round_count)
+            request_capacities.append(min(map(_request_capacity, recovered_hosts)))
     return {
         "policy": policy,
         "lost": lost,
         "runs": len(seconds),
-        "never": never,
-        "rounds": round(mean(rounds), 2),
+        "never": unrecovered,
+        "rounds": round(mean(round_counts), 2),
         "seconds": round(mean(seconds), 2),
         "seconds_p95": round(quantiles(seconds, n=20)[-1], 2),
-        "places": round(mean(places)),
-        "places_p5": round(quantiles(places, n=20)[0]),
+        "places": round(mean(request_capacities)),
+        "places_p5": round(quantiles(request_capacities, n=20)[0]),
     }
 
 
-def _placed(kinds: Sequence[str]) -> list[LayerHost]:
+def _initial_hosts(kinds: Sequence[str]) -> list[LayerHost]:
     hosts = [LayerHost(f"h{index:02}", "x", kind) for index, kind in enumerate(kinds)]
-    return _carried_out(hosts, _moving(hosts))
+    return _apply_plan(hosts, _plan_moving(hosts))
 
 
-def _carried_out(hosts: Sequence[LayerHost], plan: Sequence[Assignment]) -> list[LayerHost]:
-    wanted = {each.instance: (each.first, each.end) for each in plan}
-    found = []
+def _apply_plan(hosts: Sequence[LayerHost], plan: Sequence[Assignment]) -> list[LayerHost]:
+    planned_ranges = {each.instance: (each.first, each.end) for each in plan}
+    updated_hosts = []
     for host in hosts:
-        first, end = wanted.get(host.instance, (host.first, host.end))
-        found.append(replace(host, first=first, end=end))
-    return found
+        first, end = planned_ranges.get(host.instance, (host.first, host.end))
+        updated_hosts.append(replace(host, first=first, end=end))
+    return updated_hosts
 
 
-def _until_whole(
+def _run_until_covered(
     planner: Planner, hosts: list[LayerHost]
 ) -> tuple[float, int, list[LayerHost] | None]:
-    """Return the time and the rounds until every layer is held, and who holds what then."""
-    taken = 0.0
-    for count in range(MOST_ROUNDS):
+    """Return the seconds and rounds until every layer is held, and the hosts then (or None)."""
+    elapsed_seconds = 0.0
+    for round_count in range(MAX_ROUNDS):
         if not gaps(MODEL, hosts, 1):
-            return taken, count, hosts
+            return elapsed_seconds, round_count, hosts
         plan = planner(hosts)
         if not plan:
             break
-        taken += _load_seconds(hosts, plan) + ROUND_SECONDS
-        hosts = _carried_out(hosts, plan)
-    return taken, MOST_ROUNDS, None
+        elapsed_seconds += _plan_load_seconds(hosts, plan) + ROUND_OVERHEAD_SECONDS
+        hosts = _apply_plan(hosts, plan)
+    return elapsed_seconds, MAX_ROUNDS, None
 
 
-def _load_seconds(hosts: Sequence[LayerHost], plan: Sequence[Assignment]) -> float:
+def _plan_load_seconds(hosts: Sequence[LayerHost], plan: Sequence[Assignment]) -> float:
     held = {each.instance: set(range(each.first, each.end)) for each in hosts}
-    loads = [len(set(range(each.first, each.end)) - held[each.instance]) for each in plan]
-    busy = sum(load > 0 for load in loads)
-    slower = max(1.0, busy / MODEL.parallel_loads)
-    return max(loads) * MODEL.load_seconds / MODEL.layers * slower
+    layer_counts = [len(set(range(each.first, each.end)) - held[each.instance]) for each in plan]
+    loading_hosts = sum(load > 0 for load in layer_counts)
+    slowdown = max(1.0, loading_hosts / MODEL.parallel_loads)
+    return max(layer_counts) * MODEL.load_seconds / MODEL.layers * slowdown
 
 
-def _places(host: LayerHost) -> float:
+def _request_capacity(host: LayerHost) -> float:
     held = host.end - host.first
     return MODEL.places(host.kind, held, held) if held else float("inf")
--- a/deckcourse/slope_fit.py
+++ b/deckcourse/slope_fit.py
@@ -1,4 +1,4 @@
-"""Lines through measured points, and the measuring of processor time."""
+"""Least-squares lines through measured points, and CPU time measurement."""
 
 import gc
 from collections.abc import Callable, Sequence
@@ -7,16 +7,16 @@
 
 import numpy as np
 
-__all__ = ["Slope", "fit", "least", "processor"]
+__all__ = ["Slope", "cpu_seconds", "fit_line", "min_of_repeats"]
 
 REPEATS = 3
 
 
 @dataclass(frozen=True)
 class Slope:
-    """Points and their line: `y` = `base` + `each` times `x`.
+    """Measured points and the line fitted to them: `y` = `base` + `each` * `x`.
 
-    `residual` is the root of the mean squared distance, as a part of the largest `y`.
+    `residual` is the root mean square error as a share of the largest `y`.
     """
 
     name: str
@@ -29,26 +29,26 @@
     residual: float
 
 
-def fit(name: str, unit: str, per: str, points: Sequence[tuple[float, float]]) -> Slope:
-    """Return the line through points."""
+def fit_line(name: str, unit: str, per: str, points: Sequence[tuple[float, float]]) -> Slope:
+    """Fit a line to points by least squares."""
     x, y = (tuple(float(point[axis]) for point in points) for axis in (0, 1))
     each, base = np.polyfit(x, y, 1)
-    distance = np.array(y) - (base + each * np.array(x))
-    residual = float(np.sqrt(np.mean(distance**2)) / max(map(abs, y)))
+    residuals = np.array(y) - (base + each * np.array(x))
+    residual = float(np.sqrt(np.mean(residuals**2)) / max(map(abs, y)))
     return Slope(name, unit, per, x, y, float(base), float(each), residual)
 
 
-def least(measure: Callable[[], float]) -> float:
-    """Return the least of a few tries: what else the machine does only ever adds."""
-    found = []
+def min_of_repeats(measure: Callable[[], float]) -> float:
+    """Return the minimum of `REPEATS` measurements: other load on the machine only adds time."""
+    results = []
     for _ in range(REPEATS):
         gc.collect()
-        found.append(measure())
-    return min(found)
+        results.append(measure())
+    return min(results)
 
 
-def processor(work: Callable[[], object]) -> float:
-    """Return the processor seconds that this process spends on a piece of work."""
-    began = process_time()
+def cpu_seconds(work: Callable[[], object]) -> float:
+    """Return the CPU seconds that this process uses for a piece of work."""
+    started_at = process_time()
     work()
-    return process_time() - began
+    return process_time() - started_at
--- a/deckcourse/slopes_control.py
+++ b/deckcourse/slopes_control.py
@@ -1,4 +1,4 @@
-"""Slopes of what processes share: peers, loads, configuration, state, plans and routes."""
+"""Cost measurements of shared state: gossip, polls, configuration, memory, plans and routes."""
 
 import gc
 import tracemalloc
@@ -31,7 +31,7 @@
 from deckcourse.planner import Fleet, Runner, draft_plan
 from deckcourse.router import Router
 from deckcourse.site import free_address
-from deckcourse.slope_fit import Slope, fit, least, processor
+from deckcourse.slope_fit import Slope, cpu_seconds, fit_line, min_of_repeats
 from deckcourse.standin_engine import StandinEngine
 from deckcourse.standin_engine_http import EngineApp
 from deckcourse.standin_stage import EngineSpec
@@ -39,19 +39,19 @@
 
 __all__ = ["CONTROL_SLOPES"]
 
-MODELS = 17
-STAGES = 4
-LAYERS = 8
+MODEL_COUNT = 17
+STAGES_PER_MODEL = 4
+LAYERS_PER_STAGE = 8
 DOMAINS = tuple(f"domain-{number}" for number in range(6))
 
 
-def _load(number: int) -> EngineLoad:
+def _load_report(number: int) -> EngineLoad:
     return EngineLoad(
         f"runner-{number}", 3, "model-07", 16, 24, 12, 32, 1234.5, 8, False, 17, 240, True, 0.021, 9
     )
 
 
-def _digest(loads: int = 0, accounts: int = 0, leaving: int = 0) -> Exchange:
+def _digest_exchange(loads: int = 0, accounts: int = 0, leaving: int = 0) -> Exchange:
     return Exchange(
         Digest(
             "router-123-entry",
@@ -64,32 +64,40 @@
             False,
             tuple(f"runner-{number}/3" for number in range(leaving)),
             {f"account-{number}": 123.4 for number in range(accounts)},
-            tuple(row_of(_load(number)) for number in range(loads)),
+            tuple(row_of(_load_report(number)) for number in range(loads)),
         )
     )
 
 
-def _digest_bytes() -> list[Slope]:
+def _measure_digests() -> list[Slope]:
     encode = msgspec.msgpack.Encoder().encode
-    kinds = {
-        "load report in a digest": ("load", (0, 16, 32, 64), lambda size: _digest(loads=size)),
-        "account in a digest": ("account", (0, 55, 110, 220), lambda size: _digest(accounts=size)),
+    digest_parts = {
+        "load report in a digest": (
+            "load",
+            (0, 16, 32, 64),
+            lambda size: _digest_exchange(loads=size),
+        ),
+        "account in a digest": (
+            "account",
+            (0, 55, 110, 220),
+            lambda size: _digest_exchange(accounts=size),
+        ),
         "leaving upstream in a digest": (
             "upstream",
             (0, 25, 50, 100),
-            lambda size: _digest(leaving=size),
+            lambda size: _digest_exchange(leaving=size),
         ),
     }
     return [
-        fit(name, "B", per, [(size, len(encode(make(size)))) for size in sizes])
-        for name, (per, sizes, make) in kinds.items()
+        fit_line(name, "B", per, [(size, len(encode(make(size)))) for size in sizes])
+        for name, (per, sizes, make) in digest_parts.items()
     ]
 
 
-async def _exchange_many(count: int, loads: int) -> float:
+async def _run_exchanges(count: int, loads: int) -> float:
     address = free_address()
     listener = PynngListener(address)
-    message = _digest(loads, 50)
+    message = _digest_exchange(loads, 50)
 
     async def answer(_: Exchange) -> Exchange:
         return message
@@ -98,29 +106,32 @@
         nursery.start_soon(listener.run, answer)
         link = PynngLink(address, 5.0)
         await link.exchange(message)
-        began = process_time()
+        started_at = process_time()
         for _ in range(count):
             await link.exchange(message)
-        used = process_time() - began
+        cpu_used = process_time() - started_at
         link.close()
         nursery.cancel_scope.cancel()
-    return used
+    return cpu_used
 
 
-def _exchanges() -> list[Slope]:
+def _measure_exchanges() -> list[Slope]:
     sizes = (50, 100, 200, 400)
-    points = [(size, least(lambda size=size: trio.run(_exchange_many, size, 16))) for size in sizes]
+    points = [
+        (size, min_of_repeats(lambda size=size: trio.run(_run_exchanges, size, 16)))
+        for size in sizes
+    ]
     by_loads = [
-        (loads, least(lambda loads=loads: trio.run(_exchange_many, 100, loads)) / 100)
+        (loads, min_of_repeats(lambda loads=loads: trio.run(_run_exchanges, 100, loads)) / 100)
         for loads in (0, 16, 32, 64)
     ]
     return [
-        fit("exchange with a peer, both sides, 16 loads", "s", "exchange", points),
-        fit("load report in an exchange, both sides", "s", "load", by_loads),
+        fit_line("exchange with a peer, both sides, 16 loads", "s", "exchange", points),
+        fit_line("load report in an exchange, both sides", "s", "load", by_loads),
     ]
 
 
-async def _poll_many(count: int) -> float:
+async def _run_polls(count: int) -> float:
     spec = EngineSpec("runner-1", "", "a")
     engine = StandinEngine(spec, lambda hop: None)
     stop = trio.Event()
@@ -129,18 +140,20 @@
         async with kept_pool() as pool:
             upstream = HttpEngine(pool, "runner-1", address)
             await upstream.load()
-            began = process_time()
+            started_at = process_time()
             for _ in range(count):
                 await upstream.load()
-            used = process_time() - began
+            cpu_used = process_time() - started_at
         nursery.cancel_scope.cancel()
-    return used
+    return cpu_used
 
 
-def _polls() -> list[Slope]:
+def _measure_polls() -> list[Slope]:
     sizes = (50, 100, 200, 400)
-    points = [(size, least(lambda size=size: trio.run(_poll_many, size))) for size in sizes]
-    return [fit("poll of an upstream, both sides", "s", "poll", points)]
+    points = [
+        (size, min_of_repeats(lambda size=size: trio.run(_run_polls, size))) for size in sizes
+    ]
+    return [fit_line("poll of an upstream, both sides", "s", "poll", points)]
 
 
 def _placements(runners: int) -> tuple[Placement, ...]:
@@ -150,9 +163,9 @@
             3,
             f"10.0.{number // 256}.{number % 256}:9000",
             DOMAINS[number % 6],
-            f"model-{number % MODELS:02}",
-            LAYERS * (number // MODELS % STAGES),
-            LAYERS * (number // MODELS % STAGES) + LAYERS,
+            f"model-{number % MODEL_COUNT:02}",
+            LAYERS_PER_STAGE * (number // MODEL_COUNT % STAGES_PER_MODEL),
+            LAYERS_PER_STAGE * (number // MODEL_COUNT % STAGES_PER_MODEL) + LAYERS_PER_STAGE,
         )
         for number in range(runners)
     )
@@ -162,65 +175,72 @@
     weights = {
         f"model-{model:02}": tuple(
             FlowWeight(f"model-{model:02}", f"runner-{number}", f"runner-{number + 1}", 12.5)
-            for number in range(2 * runners // MODELS)
+            for number in range(2 * runners // MODEL_COUNT)
         )
-        for model in range(MODELS)
+        for model in range(MODEL_COUNT)
+    }
+    specs = {name: ModelSpec(name, STAGES_PER_MODEL * LAYERS_PER_STAGE, 100.0) for name in weights}
+    accounts_by_name = {
+        f"account-{n}": Account(f"account-{n}", f"{n:064x}", 1e4) for n in range(accounts)
     }
-    specs = {name: ModelSpec(name, STAGES * LAYERS, 100.0) for name in weights}
-    people = {f"account-{n}": Account(f"account-{n}", f"{n:064x}", 1e4) for n in range(accounts)}
-    placed = {each.instance: each for each in _placements(runners)}
-    return Configuration(1, specs, placed, weights, frozenset(), people, {})
+    placements = {each.instance: each for each in _placements(runners)}
+    return Configuration(1, specs, placements, weights, frozenset(), accounts_by_name, {})
 
 
-def _memory(make: Callable[[], object]) -> float:
+def _allocated_bytes(make: Callable[[], object]) -> float:
     gc.collect()
     tracemalloc.start()
-    kept = make()
+    retained = make()
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    del kept
+    del retained
     return float(size)
 
 
-def _membership(runners: int) -> Membership:
+def _membership_view(runners: int) -> Membership:
     membership = Membership()
     for number in range(runners):
-        membership.see_load(_load(number), 0.0)
+        membership.see_load(_load_report(number), 0.0)
     return membership
 
 
-def _state() -> list[Slope]:
+def _measure_state() -> list[Slope]:
     runners = (300, 600, 1200, 2300)
     accounts = (55, 110, 220, 440)
-    configuration = [(size, _memory(lambda size=size: _configuration(size))) for size in runners]
-    reports = [(size, _memory(lambda size=size: _membership(size))) for size in runners]
-    people = [
-        (size, _memory(lambda size=size: _configuration(10, accounts=size))) for size in accounts
+    by_runners = [
+        (size, _allocated_bytes(lambda size=size: _configuration(size))) for size in runners
+    ]
+    reports = [
+        (size, _allocated_bytes(lambda size=size: _membership_view(size))) for size in runners
+    ]
+    by_accounts = [
+        (size, _allocated_bytes(lambda size=size: _configuration(10, accounts=size)))
+        for size in accounts
     ]
     encoded = [(size, len(msgspec.json.encode(_configuration(size)))) for size in runners]
     return [
-        fit("configuration in memory", "B", "runner", configuration),
-        fit("load reports in memory", "B", "runner", reports),
-        fit("accounts in memory", "B", "account", people),
-        fit("snapshot of the configuration", "B", "runner", encoded),
+        fit_line("configuration in memory", "B", "runner", by_runners),
+        fit_line("load reports in memory", "B", "runner", reports),
+        fit_line("accounts in memory", "B", "account", by_accounts),
+        fit_line("snapshot of the configuration", "B", "runner", encoded),
     ]
 
 
-def _apply_many(base: Configuration, count: int) -> None:
+def _apply_changes(base: Configuration, count: int) -> None:
     holder = ConfigurationHolder()
     holder.replace(base)
-    place = next(iter(base.placements.values()))
+    placement = next(iter(base.placements.values()))
     for version in range(2, count + 2):
-        holder.apply(Change(version, "p", placements=(place,)))
+        holder.apply(Change(version, "p", placements=(placement,)))
 
 
-def _changes() -> list[Slope]:
+def _measure_changes() -> list[Slope]:
     runners = (300, 600, 1200, 2300)
     by_runners = []
     for size in runners:
         base = _configuration(size)
-        used = least(lambda base=base: processor(lambda: _apply_many(base, 200)))
-        by_runners.append((size, used / 200))
+        cpu_used = min_of_repeats(lambda base=base: cpu_seconds(lambda: _apply_changes(base, 200)))
+        by_runners.append((size, cpu_used / 200))
     places = _placements(64)
     change = Change(2, "0123456789ab")
     sizes = [
@@ -228,8 +248,8 @@
         for count in (1, 4, 16, 64)
     ]
     return [
-        fit("apply a change, by runners placed", "s", "runner", by_runners),
-        fit("a change's row", "B", "placement", sizes),
+        fit_line("apply a change, by runners placed", "s", "runner", by_runners),
+        fit_line("a change's row", "B", "placement", sizes),
     ]
 
 
@@ -242,7 +262,7 @@
                 "",
                 DOMAINS[number % 6],
                 400.0 * (1 + number % 6),
-                LAYERS,
+                LAYERS_PER_STAGE,
             )
             for number in range(runners)
         }
@@ -254,37 +274,41 @@
     draft_plan(configuration, _fleet(runners), HoldCapacity("model-00", 1e9))
 
 
-def _heal_flow(runners: int) -> None:
+def _compute_all_flows(runners: int) -> None:
     configuration = _configuration(runners)
     fleet = _fleet(runners)
     for model in configuration.models:
         fleet.weights(configuration, model)
 
 
-def _plans() -> list[Slope]:
+def _measure_plans() -> list[Slope]:
     runners = (300, 600, 1200, 2300)
-    one = [(size, least(lambda size=size: processor(lambda: _plan_once(size)))) for size in runners]
-    every = [
-        (size, least(lambda size=size: processor(lambda: _heal_flow(size)))) for size in runners
+    one_intent = [
+        (size, min_of_repeats(lambda size=size: cpu_seconds(lambda: _plan_once(size))))
+        for size in runners
+    ]
+    all_models = [
+        (size, min_of_repeats(lambda size=size: cpu_seconds(lambda: _compute_all_flows(size))))
+        for size in runners
     ]
     return [
-        fit("plan of one intent, by runners", "s", "runner", one),
-        fit("flow of all 17 models, by runners", "s", "runner", every),
+        fit_line("plan of one intent, by runners", "s", "runner", one_intent),
+        fit_line("flow of all 17 models, by runners", "s", "runner", all_models),
     ]
 
 
-def _routes() -> list[Slope]:
+def _measure_routes() -> list[Slope]:
     points = []
     for runners in (300, 600, 1200, 2300):
         configuration = _configuration(runners)
         membership = Membership()
-        for place in configuration.placements.values():
+        for placement in configuration.placements.values():
             load = replace(
-                _load(0),
-                instance=place.instance,
-                model=place.model,
-                first=place.first,
-                end=place.end,
+                _load_report(0),
+                instance=placement.instance,
+                model=placement.model,
+                first=placement.first,
+                end=placement.end,
             )
             membership.see_load(load, 0.0)
         router = Router(membership, Random(1))
@@ -293,37 +317,46 @@
             for _ in range(100):
                 router.choose(configuration, "model-00", 1.0)
 
-        points.append((runners, least(lambda choose=choose: processor(choose)) / 100))
-    return [fit("choice of a route, by runners in the configuration", "s", "runner", points)]
+        points.append((runners, min_of_repeats(lambda choose=choose: cpu_seconds(choose)) / 100))
+    return [fit_line("choice of a route, by runners in the configuration", "s", "runner", points)]
 
 
-async def _spread_time(entries: int) -> float:
+async def _propagation_seconds(entries: int) -> float:
     site = VirtualSite(VirtualPlan(entries=entries, controllers=1, seed=entries))
     async with trio.open_nursery() as nursery:
         await nursery.start(site.run)
         await trio.sleep(4)
-        # With the platform out, gossip is the only way.
+        # During a platform outage the change can propagate only by gossip.
         await site.intend({"kind": "service", "service": "a", "repeatable": True})
         await trio.sleep(4)
         controller = next(iter(site.controllers))
         site.platform_out(True)
         version = controller.node.holder.version + 1
-        began = trio.current_time()
+        started_at = trio.current_time()
         controller.node.holder.apply(Change(version, "p"))
         while any(each.node.holder.version < version for each in site.entries):
             await trio.sleep(0.02)
-        took = trio.current_time() - began
+        elapsed_seconds = trio.current_time() - started_at
         nursery.cancel_scope.cancel()
-    return took
+    return elapsed_seconds
 
 
-def _spread() -> list[Slope]:
+def _measure_propagation() -> list[Slope]:
     points = []
     for entries in (9, 18, 36, 72):
         clock = MockClock(autojump_threshold=0)
-        took = trio.run(_spread_time, entries, clock=clock)
-        points.append((float(np.log2(entries)), took))
-    return [fit("spread of a change to all entries, by gossip alone", "s", "doubling", points)]
-
-
-CONTROL_SLOPES = (_digest_bytes, _exchanges, _polls, _state, _changes, _plans, _routes, _spread)
+        elapsed_seconds = trio.run(_propagation_seconds, entries, clock=clock)
+        points.append((float(np.log2(entries)), elapsed_seconds))
+    return [fit_line("spread of a change to all entries, by gossip alone", "s", "doubling", points)]
+
+
+CONTROL_SLOPES = (
+    _measure_digests,
+    _measure_exchanges,
+    _measure_polls,
+    _measure_state,
+    _measure_changes,
+    _measure_plans,
+    _measure_routes,
+    _measure_propagation,
+)
