--- a/features/steps/page_steps.py
+++ b/features/steps/page_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run what the pages and the command line promise."""
+"""Steps that check the documentation and the command line by running them."""
 
 import os
 import re
@@ -18,10 +18,10 @@
 ENVIRONMENT = {**os.environ, "PATH": f"{BIN}:{os.environ['PATH']}"}
 
 
-def run(command: list[str], cwd: Path, seconds: float) -> subprocess.CompletedProcess:
-    """Run a command to its end; what it started ends with it, also where it takes too long.
+def run_command(command: list[str], cwd: Path, seconds: float) -> subprocess.CompletedProcess:
+    """Run a command; after `seconds`, kill its whole process group and fail.
 
-    Processes left behind would hold the ports that the next run of the same pages needs.
+    Processes left running would hold the ports that the next run of the tutorial needs.
     """
     with subprocess.Popen(
         command,
@@ -31,50 +31,50 @@
         stderr=subprocess.STDOUT,
         text=True,
         start_new_session=True,
-    ) as started:
+    ) as process:
         try:
-            output, _ = started.communicate(timeout=seconds)
-        except subprocess.TimeoutExpired as late:
-            os.killpg(started.pid, signal.SIGKILL)
-            output, _ = started.communicate()
-            raise AssertionError(f"{command} took over {seconds} s: {output[-3000:]}") from late
-    return subprocess.CompletedProcess(command, started.returncode, output)
+            output, _ = process.communicate(timeout=seconds)
+        except subprocess.TimeoutExpired as error:
+            os.killpg(process.pid, signal.SIGKILL)
+            output, _ = process.communicate()
+            raise AssertionError(f"{command} took over {seconds} s: {output[-3000:]}") from error
+    return subprocess.CompletedProcess(command, process.returncode, output)
 
 
 @then("the blocks of docs/TUTORIAL.md run in an empty folder without an error")
-def tutorial(context):
+def tutorial_runs(context):
     text = (ROOT / "docs" / "TUTORIAL.md").read_text(encoding="utf-8")
     blocks = re.findall(r"```sh\n(.*?)```", text, re.DOTALL)
     assert len(blocks) > 4
     with tempfile.TemporaryDirectory() as folder:
         script = Path(folder) / "tutorial.sh"
-        ending = "trap 'kill $(jobs -p) 2> /dev/null || true' EXIT\n"
-        script.write_text("set -eu\n" + ending + "\n".join(blocks), encoding="utf-8")
-        done = run(["bash", str(script)], Path(folder), 90)
-    assert done.returncode == 0, done.stdout[-3000:]
-    assert "is accepted as version" in done.stdout, done.stdout
-    assert "data: [DONE]" in done.stdout, done.stdout[-3000:]
+        cleanup = "trap 'kill $(jobs -p) 2> /dev/null || true' EXIT\n"
+        script.write_text("set -eu\n" + cleanup + "\n".join(blocks), encoding="utf-8")
+        completed = run_command(["bash", str(script)], Path(folder), 90)
+    assert completed.returncode == 0, completed.stdout[-3000:]
+    assert "is accepted as version" in completed.stdout, completed.stdout
+    assert "data: [DONE]" in completed.stdout, completed.stdout[-3000:]
 
 
-@then("deckcourse try ends well within {seconds:d} seconds and tells of a whole answer")
-def trial(context, seconds):
-    began = time.monotonic()
-    done = run([str(BIN / "deckcourse"), "try"], ROOT, seconds)
-    assert done.returncode == 0, done.stdout
-    assert time.monotonic() - began < seconds
+@then("deckcourse try succeeds within {seconds:d} seconds and reports a complete answer")
+def trial_succeeds(context, seconds):
+    started_at = time.monotonic()
+    completed = run_command([str(BIN / "deckcourse"), "try"], ROOT, seconds)
+    assert completed.returncode == 0, completed.stdout
+    assert time.monotonic() - started_at < seconds
     for words in ("killed runner-", "40 of 40 tokens came, in order", "pause of the stream"):
-        assert words in done.stdout, done.stdout
+        assert words in completed.stdout, completed.stdout
 
 
 @then("deckcourse {command} exits with {code:d} and says {words}")
 def command_line(context, command, code, words):
-    done = run([str(BIN / "deckcourse"), *command.split()], ROOT, 30)
-    assert done.returncode == code, (done.returncode, done.stdout)
-    assert words in done.stdout, done.stdout
+    completed = run_command([str(BIN / "deckcourse"), *command.split()], ROOT, 30)
+    assert completed.returncode == code, (completed.returncode, completed.stdout)
+    assert words in completed.stdout, completed.stdout
 
 
 @then("docs/OPERATIONS.md names every reason")
-def every_reason(context):
+def reasons_documented(context):
     text = (ROOT / "docs" / "OPERATIONS.md").read_text(encoding="utf-8")
     reasons = [*NotRunReason, *UnknownReason, *RetryReason]
     missing = [reason for reason in reasons if f".{reason}`" not in text]
--- a/features/steps/unit_steps.py
+++ b/features/steps/unit_steps.py
@@ -1,4 +1,4 @@
-"""Steps about single parts."""
+"""Steps that test single modules without a running site."""
 
 import tempfile
 from configparser import ConfigParser
@@ -31,7 +31,7 @@
 MINIMAL = "[node]\nname = a\ndomain = b\nplatform = 127.0.0.1:1\n"
 
 
-@then("the relay gives the answer once for {count:d} generated arrivals")
+@then("the relay delivers the answer exactly once for {count:d} generated frame sequences")
 def relay_once(context, count):
     arrivals = strategies.tuples(
         strategies.integers(1, 20),
@@ -79,60 +79,60 @@
     except RouteError as error:
         assert message in str(error), error
     else:
-        raise AssertionError("the route was made")
+        raise AssertionError("the route was accepted")
 
 
-@then("settings with {line} in {section} are refused naming {named}")
-def settings_refused(context, line, section, named):
+@then("settings with {line} in {section} are refused naming {expected}")
+def settings_refused(context, line, section, expected):
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "a.ini"
         path.write_text(f"{MINIMAL}[{section}]\n{line}\n", encoding="utf-8")
         match read_settings(str(path)):
             case Failure(problems):
                 text = "\n".join(map(str, problems))
-                assert named in text and str(path) in text, text
+                assert expected in text and str(path) in text, text
             case _:
-                raise AssertionError("the settings were taken")
+                raise AssertionError("the settings were accepted")
 
 
-@then("the sample settings are right")
-def sample_right(context):
+@then("the sample settings are valid")
+def sample_valid(context):
     assert isinstance(read_settings(str(SAMPLE)), Success), read_settings(str(SAMPLE))
 
 
 @then("the sample settings name every key with its default")
 def sample_complete(context):
     lines = [line.lstrip("# ").rstrip() for line in SAMPLE.read_text(encoding="utf-8").splitlines()]
-    kept = [line for line in lines if line.startswith("[") or " = " in line]
+    setting_lines = [line for line in lines if line.startswith("[") or " = " in line]
     parser = ConfigParser(interpolation=None)
-    parser.read_string("\n".join(kept))
+    parser.read_string("\n".join(setting_lines))
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "all.ini"
         with path.open("w", encoding="utf-8") as file:
             parser.write(file)
-        read = read_settings(str(path)).unwrap()
+        parsed_settings = read_settings(str(path)).unwrap()
     for section in fields(Settings):
         for key in fields(section.type):
             assert parser.has_option(section.name, key.name), (section.name, key.name)
-            value = getattr(getattr(read, section.name), key.name)
+            value = getattr(getattr(parsed_settings, section.name), key.name)
             if key.default is not MISSING and key.name not in ("peers", "host"):
                 assert value == key.default, (section.name, key.name, value, key.default)
 
 
-@then("{tries:d} first tries and failures allow between {least:d} and {most:d} retries")
-def budget(context, tries, least, most):
-    one = RetryBudget()
+@then("{attempts:d} failed first attempts allow between {low:d} and {high:d} retries")
+def retries_bounded(context, attempts, low, high):
+    retry_budget = RetryBudget()
     allowed = 0
-    for _ in range(tries):
-        one.earn()
-        allowed += one.spend()
-    assert least <= allowed <= most, allowed
+    for _ in range(attempts):
+        retry_budget.earn()
+        allowed += retry_budget.spend()
+    assert low <= allowed <= high, allowed
 
 
 @then(
-    "over {runs:d} draws of one lost host moving takes less time than widening and cutting afresh"
+    "over {runs:d} draws of one lost host, moving hosts is faster than widening and slicing afresh"
 )
-def placements(context, runs):
+def moving_is_fastest(context, runs):
     results = {name: bench_layers(name, 1, runs, 1) for name in LAYER_POLICIES}
     assert all(each["runs"] == 3 * runs and each["never"] == 0 for each in results.values())
     moving = results["moving"]
@@ -140,7 +140,7 @@
     assert moving["rounds"] == 1 < results["widening"]["rounds"]
 
 
-def change(version: int) -> Change:
+def make_change(version: int) -> Change:
     return Change(version, "p", models=(ModelSpec(f"m{version}", 4, 1.0),))
 
 
@@ -148,7 +148,7 @@
 def changes_applied(context, versions, version, models):
     holder = ConfigurationHolder()
     for each in versions.split():
-        holder.apply(change(int(each)))
+        holder.apply(make_change(int(each)))
     assert holder.version == version
     assert len(holder.configuration.models) == models
 
@@ -161,33 +161,33 @@
     assert holder.version == 5
 
 
-@then("at most {most:d} of {count:d} keys move when the 10th node joins, and only to it")
-def few_move(context, most, count):
+@then("at most {limit:d} of {count:d} keys move when the 10th node joins, and only to it")
+def few_keys_move(context, limit, count):
     nodes = [f"node-{number}" for number in range(9)]
     keys = [f"runner-{number}" for number in range(count)]
     moved = [key for key in keys if owner(key, nodes) != owner(key, [*nodes, "new"])]
-    assert 0 < len(moved) <= most, len(moved)
+    assert 0 < len(moved) <= limit, len(moved)
     assert all(owner(key, [*nodes, "new"]) == "new" for key in moved)
 
 
-def places(counts: list[int], domain: str = "a") -> list[Placement]:
-    found = []
+def make_placements(counts: list[int], domain: str = "a") -> list[Placement]:
+    placements = []
     for stage, count in enumerate(counts):
         for number in range(count):
             name = f"{stage}.{number}.{domain}"
-            found.append(Placement(name, 1, "", domain, "m", 4 * stage, 4 * stage + 4))
-    return found
+            placements.append(Placement(name, 1, "", domain, "m", 4 * stage, 4 * stage + 4))
+    return placements
 
 
-@then("the flow through stages of 300, 200 and 400 tokens a second is 200")
-def flow_is(context):
-    context.places = places([3, 2, 4])
-    rates = {place.instance: 100.0 for place in context.places}
+@then("the flow through stages of 300, 200 and 400 tokens per second is 200")
+def flow_through_stages(context):
+    context.places = make_placements([3, 2, 4])
+    rates = {placement.instance: 100.0 for placement in context.places}
     total, context.weights = model_flow(context.places, 12, rates, lambda source, target: 1e6)
     assert total == 200.0, total
 
 
-@then("each of the 4 replicas of the last stage gets {share:d} of it")
+@then("each of the 4 replicas of the last stage gets a flow of {share:d}")
 def balanced(context, share):
     flows = {}
     for weight in context.weights:
@@ -196,10 +196,10 @@
     assert len(last) == 4 and all(abs(flow - share) < 1.0 for flow in last), flows
 
 
-@then("replicas behind a link of 1 token a second get 1 token a second")
+@then("replicas behind a link of 1 token per second get 1 token per second")
 def slow_link(context):
-    near, far = places([1, 1], "a"), places([0, 1], "b")
-    rates = {place.instance: 100.0 for place in [*near, *far]}
+    near, far = make_placements([1, 1], "a"), make_placements([0, 1], "b")
+    rates = {placement.instance: 100.0 for placement in [*near, *far]}
     rates["1.0.a"] = 40.0
 
     def link(source, target):
@@ -210,31 +210,31 @@
     assert {weight.flow for weight in weights if weight.target == "1.0.b"} == {1.0}, weights
 
 
-@then("the intent {intent} is refused naming {named}")
-def intent_refused(context, intent, named):
+@then("the intent {intent} is refused naming {expected}")
+def intent_refused(context, intent, expected):
     match intent_from(msgspec.json.decode(intent)):
         case Failure(message):
-            assert named in message, message
+            assert expected in message, message
         case _:
-            raise AssertionError("the intent was taken")
+            raise AssertionError("the intent was accepted")
 
 
 @then("{outcome} is {status:d} with {header}")
 def outcome_head(context, outcome, status, header):
     kind, _, reason = outcome.rpartition(" ")
     if kind == "not run":
-        made = NotRun(NotRunReason(reason), "", retry_after=2.1)
+        outcome_value = NotRun(NotRunReason(reason), "", retry_after=2.1)
     else:
-        made = Unknown(UnknownReason(reason), "", repeatable=False)
-    head = response_head(made)
+        outcome_value = Unknown(UnknownReason(reason), "", repeatable=False)
+    head = response_head(outcome_value)
     lines = [f"{name.decode()}: {value.decode()}" for name, value in head.headers]
     assert head.status == status and header in lines, (head.status, lines)
 
 
 @then("after gaps of {gap:f} seconds the next token is due within {due:f} seconds")
 def due_within(context, gap, due):
-    learned = TokenGap()
+    token_gap = TokenGap()
     for _ in range(50):
-        learned.observe(gap)
-    deadline = learned.next_deadline(100.0) - 100.0
+        token_gap.observe(gap)
+    deadline = token_gap.next_deadline(100.0) - 100.0
     assert gap < deadline <= due, deadline
--- a/features/tutorial.feature
+++ b/features/tutorial.feature
@@ -5,7 +5,7 @@
     Then the blocks of docs/TUTORIAL.md run in an empty folder without an error
 
   Scenario: The trial shows a killed stage and a whole answer in under 30 seconds
-    Then deckcourse try ends well within 30 seconds and tells of a whole answer
+    Then deckcourse try succeeds within 30 seconds and reports a complete answer
 
   Scenario Outline: The command line: <command>
     Then deckcourse <command> exits with <code> and says <words>
--- a/features/units.feature
+++ b/features/units.feature
@@ -1,9 +1,9 @@
-Feature: The parts, each by itself
+Feature: Single modules without a running site
 
-  Scenario: Any order, doubling and staleness of frames gives the answer once
-    Then the relay gives the answer once for 300 generated arrivals
+  Scenario: Reordered, duplicate and stale frames give the answer exactly once
+    Then the relay delivers the answer exactly once for 300 generated frame sequences
 
-  Scenario Outline: A route is refused that has <wrong>
+  Scenario Outline: A route with <wrong> is refused
     Then a route of layers <ranges> over 12 layers is refused with <message>
 
     Examples:
@@ -15,7 +15,7 @@
       | too many       | 0-4 4-13         | ends at layer 13 of 12 |
       | no stage       | none             | ends at layer 0 of 12 |
 
-  Scenario Outline: Settings with <wrong> name the place and the remedy
+  Scenario Outline: The error for settings with <wrong> names the place and the remedy
     Then settings with <line> in <section> are refused naming <named>
 
     Examples:
@@ -28,15 +28,15 @@
       | a word for number | callers | requests = many          | a whole number                  |
       | a strange section | nothing | a = 1                    | no such section                 |
 
-  Scenario: The sample settings are right and hold every default
-    Then the sample settings are right
+  Scenario: The sample settings are valid and list every key with its default
+    Then the sample settings are valid
     And the sample settings name every key with its default
 
-  Scenario: Retries are bounded by a part of the first tries
-    Then 1000 first tries and failures allow between 200 and 220 retries
+  Scenario: Retries are limited to a share of the first attempts
+    Then 1000 failed first attempts allow between 200 and 220 retries
 
-  Scenario: The experiment with placements tells the policies apart
-    Then over 4 draws of one lost host moving takes less time than widening and cutting afresh
+  Scenario: The placement experiment shows which policy recovers fastest
+    Then over 4 draws of one lost host, moving hosts is faster than widening and slicing afresh
 
   Scenario Outline: Changes arrive <how>
     Then changes <versions> leave version <version> and <models> models
@@ -48,20 +48,20 @@
       | with one missing  | 1 3         | 1       | 1      |
       | newest first      | 3 2 1       | 1       | 1      |
 
-  Scenario: A whole configuration never replaces a newer one
+  Scenario: A full configuration never replaces a newer one
     Then an older configuration doesn't replace a newer one
 
   Scenario: Few keys move when a node joins
     Then at most 15 of 100 keys move when the 10th node joins, and only to it
 
-  Scenario: The flow is that of the weakest cut, and balanced where it costs nothing
-    Then the flow through stages of 300, 200 and 400 tokens a second is 200
-    And each of the 4 replicas of the last stage gets 50 of it
+  Scenario: The flow equals the minimum cut and is balanced where that loses no flow
+    Then the flow through stages of 300, 200 and 400 tokens per second is 200
+    And each of the 4 replicas of the last stage gets a flow of 50
 
-  Scenario: A slow link is left out of the flow
-    Then replicas behind a link of 1 token a second get 1 token a second
+  Scenario: A slow link limits the flow to the replicas behind it
+    Then replicas behind a link of 1 token per second get 1 token per second
 
-  Scenario Outline: An intent with <wrong> is refused naming it
+  Scenario Outline: An intent with <wrong> is refused, naming the field
     Then the intent <intent> is refused naming <named>
 
     Examples:
@@ -85,6 +85,6 @@
       | unknown deadline-passed | 504    | x-should-retry: false  |
       | unknown in-progress     | 409    | x-should-retry: false  |
 
-  Scenario: A stalled stage is found within the gap that its stream showed
+  Scenario: The timeout that detects a stalled stage follows the stream's observed token gaps
     Then after gaps of 0.05 seconds the next token is due within 0.25 seconds
     And after gaps of 0.4 seconds the next token is due within 1.3 seconds
