--- a/soak/conversation.py
+++ b/soak/conversation.py
@@ -1,4 +1,4 @@
-"""A stand-in's side of one connection: it can stand still, and send bytes due to nobody."""
+"""A stand-in's connection that can hold its output back and send unsolicited bytes."""
 
 from contextlib import suppress
 
@@ -10,35 +10,35 @@
 
 
 class Gate:
-    """Holds up all that wants to go out, and lets it out at once."""
+    """Holds back the output of all connections and releases it at once."""
 
     def __init__(self) -> None:
         self._closed_until = 0.0
         self._opened = trio.Event()
 
     def close(self, seconds: float) -> None:
-        """Hold everything up for so long from now, or until it is opened."""
+        """Hold output back for a time from now, or until `open`."""
         self._closed_until = max(self._closed_until, trio.current_time() + seconds)
 
     def open(self) -> None:
-        """Let everything out now."""
+        """Release all output now."""
         self._closed_until = 0.0
         self._opened.set()
         self._opened = trio.Event()
 
     async def passed(self) -> None:
-        """Return once nothing is held up."""
+        """Return once the gate is open."""
         while trio.current_time() < self._closed_until:
             with trio.move_on_at(self._closed_until):
                 await self._opened.wait()
 
 
 class Conversation(trio.abc.HalfCloseableStream):
-    """Passes one connection's bytes on behind a gate and remembers the last answer.
+    """Sends a connection's output through a gate and records the last answer.
 
     Args:
       inner: the connection.
-      gate: what all of the process's connections pass.
+      gate: the gate that all connections of the process share.
     """
 
     def __init__(self, inner: trio.SocketStream, gate: Gate) -> None:
@@ -50,55 +50,55 @@
         self._sending = trio.Lock()
 
     def begin(self) -> None:
-        """Note that the answer to a request begins."""
+        """Start to record an answer."""
         self._written = b""
         self._answering = True
 
     def end(self) -> bytes:
-        """Note that the answer is over; return its bytes."""
+        """Stop to record and return the bytes of the answer."""
         self._answering = False
         return self._written
 
     def keep(self, data: bytes) -> None:
-        """Keep bytes that belong to no request until the next one comes."""
+        """Store unsolicited bytes until the next request arrives."""
         self._kept = data
 
     async def send_kept(self) -> None:
-        """Send what was kept for the place of an answer that is due now."""
+        """Send the stored bytes in place of the answer that is expected now."""
         kept, self._kept = self._kept, b""
         if kept:
             await self.send_unasked(kept)
 
     def reset(self) -> None:
-        """Close so that the other side gets a reset."""
+        """Close the connection with a TCP reset."""
         reset(self._inner)
 
     async def send_unasked(self, data: bytes) -> None:
-        """Send bytes that belong to no request, unless an answer is half sent."""
+        """Send bytes that belong to no request, unless an answer is partly sent."""
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
             async with self._sending:
                 if not (self._answering and self._written):
                     await self._inner.send_all(data)
 
     async def send_all(self, data: bytes) -> None:
-        """Send bytes of an answer."""
+        """Send bytes of an answer once the gate is open."""
         await self._gate.passed()
         async with self._sending:
             self._written += data
             await self._inner.send_all(data)
 
     async def wait_send_all_might_not_block(self) -> None:
-        """Wait until bytes may be sent."""
+        """Wait until the connection accepts bytes."""
         await self._inner.wait_send_all_might_not_block()
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes:
-        """Return the next bytes, none after the other side's end."""
+        """Return the next bytes, or none once the peer has closed its side."""
         return await self._inner.receive_some(max_bytes)
 
     async def send_eof(self) -> None:
-        """End this side."""
+        """Close the sending side."""
         await self._inner.send_eof()
 
     async def aclose(self) -> None:
-        """Close."""
+        """Close the connection."""
         await self._inner.aclose()
--- a/soak/notices.py
+++ b/soak/notices.py
@@ -1,9 +1,9 @@
-"""What a stand-in of a runner asks for in its answers: a pause, a request rate, or that it leaves.
+"""Notices in the answers of a stand-in runner: a backoff, a rate limit or its shutdown.
 
-Told on its standard input: `{"backoff": SECONDS, "seconds": SECONDS}` makes it turn requests away
-for so long and ask for the first time with each refusal; `{"leaving": true}` makes all its answers
-say that it leaves, `{"draining": true}` its row too. `{"limit": RATE}` makes them name a rate
-limit, none where it is empty.
+They are controlled by orders on standard input: `{"backoff": SECONDS, "seconds": SECONDS}` makes
+the runner refuse requests for `seconds` and ask for the backoff with each refusal;
+`{"leaving": true}` makes all its answers announce its shutdown, `{"draining": true}` its row too;
+`{"limit": RATE}` makes them announce a rate limit, or none if RATE is empty.
 """
 
 import time
@@ -16,22 +16,22 @@
 
 __all__ = ["FROM", "Notices", "start_name"]
 
-# The header by which an answer tells whoever gets it which start of a runner gave it.
+# The header of an answer that names the incarnation of the runner that sent it.
 FROM = b"x-soak-from"
 
-# For so long questions are answered as of before one was leaving, seconds: else the entries would
-# nearly always learn it by those, and never by a caller's answer.
+# For this time answers to control queries don't announce a shutdown. Otherwise entries would nearly
+# always learn of it from these and never from an answer to a client.
 QUIET_SECONDS = 0.8
 
 
 def start_name(instance: str, born: int) -> str:
-    """Return what one start of a runner is called in that header."""
+    """Return the name of one incarnation of a runner, the value of INCARNATION_HEADER."""
     return f"{instance}@{born}"
 
 
 @dataclass
 class Notices:
-    """What is asked for now; `tell` writes a line of the runner's record."""
+    """The current notices of a runner; `write_record` writes a line of its record."""
 
     tell: Callable[..., None]
     backoff: float = 0.0
@@ -44,12 +44,12 @@
 
     @property
     def headers(self) -> Headers:
-        """What the answers to callers' requests carry."""
+        """The notices in answers to client requests."""
         return (*self._limit_headers, *self._leaving_headers)
 
     @property
     def control_headers(self) -> Headers:
-        """What the answers to questions and orders carry, which are of a moment ago."""
+        """The notices in answers to control queries and orders, with a delayed shutdown notice."""
         is_quiet = trio.current_time() < self.quiet_until
         return self._limit_headers if is_quiet else self.headers
 
@@ -59,7 +59,7 @@
 
     @property
     def _limit_headers(self) -> Headers:
-        """The rate limit that is named; recorded where it is another one than before."""
+        """The announced rate limit; each change of it is recorded."""
         if self.limit != self.has_named:
             self.has_named = self.limit
             named = float(self.limit) if self.limit else None
@@ -68,11 +68,11 @@
 
     @property
     def state(self) -> str:
-        """What the row says of it."""
+        """The state in the runner's row."""
         return "draining" if self.draining else "ready"
 
     def take(self, order: dict) -> bool:
-        """Obey an order; return whether it is one of these."""
+        """Apply an order; return False if it isn't one for notices."""
         if "backoff" in order:
             self.backoff = order["backoff"]
             self.refuses_until = trio.current_time() + order["seconds"]
@@ -88,15 +88,15 @@
         return True
 
     def arrived(self, request: str) -> None:
-        """Record a caller's request, by the clock that all processes of the machine share."""
+        """Record a client request with the time of the clock that all processes share."""
         self.tell(arrived=request, clock=time.monotonic())
 
     def was_asked(self) -> None:
-        """Record a question or an order."""
+        """Record a control query or an order."""
         self.tell(question=True, clock=time.monotonic())
 
     def refusal(self, request: str) -> Headers | None:
-        """Return the headers of a refusal and record what it asks for, None where none is due."""
+        """Return the headers of a refusal and record its backoff, or None if none is active."""
         if trio.current_time() >= self.refuses_until:
             return None
         self.tell(asked=request, seconds=self.backoff, clock=time.monotonic())
--- a/soak/odd_answers.py
+++ b/soak/odd_answers.py
@@ -1,7 +1,8 @@
-"""How a stand-in of a runner answers oddly, and for how long: told on its standard input.
+"""Faulty answers of a stand-in runner, controlled by orders on its standard input.
 
-Each line is JSON: `{"still": SECONDS}` makes the whole process stand still and then bring what was
-due at once; `{"odd": KIND, "seconds": SECONDS}` makes a part of the answers odd meanwhile.
+Each line is JSON: `{"still": SECONDS}` holds all output of the process back and then sends it at
+once; `{"aimed": SECONDS}` does so until the second of two control queries in a row has timed out;
+`{"odd": KIND, "seconds": SECONDS}` makes a share of the answers faulty for that time.
 """
 
 import json
@@ -17,11 +18,11 @@
 
 __all__ = ["Odd", "OddAnswers", "raw_head"]
 
-# The share of answers that are odd while any are.
+# The share of answers that are faulty while a fault is active.
 ODD_SHARE = 0.6
-# How long behind an answer a late surplus comes at the most, seconds.
+# The longest delay of a late surplus.
 LATE_SECONDS = 0.03
-# What comes behind an answer: bytes that are nothing, like an event, like a chunk, like an answer.
+# Surplus bytes that resemble nothing, an event, a chunk and an answer.
 GARBAGE = (
     b"\x00\xff\x00garbage",
     b"id: 1\ndata: garbage\n\n",
@@ -30,22 +31,23 @@
 )
 
 
-# After so long without an answer the gateway gives a question to an upstream up, and takes its
-# streams from it after the second one in a row. What was held up is let out around that moment,
-# seconds.
+# The gateway's timeout for a control query to an upstream; it moves the streams of an upstream
+# after two timeouts in a row. Held output is released around the second one, at an offset in this
+# range.
 QUESTION_SECONDS = 0.15
 AIM_SECONDS = (-0.002, 0.003)
-# A question so long behind the end of another is the second one in a row, seconds.
+# A query that starts this long after the timeout of another one is the second in a row.
 NEXT_SECONDS = (0.05, 0.13)
-# So long before that moment it is told, so that the gateway's processes can stand still over it and
-# find both at once when they go on, seconds.
+# The release is announced this long in advance, so that the gateway's processes can be paused over
+# it and handle the timeout and the released output at once when they resume.
 TOLD_SECONDS = 0.025
 
 
 class Odd(StrEnum):
     """What is wrong with an answer.
 
-    An endless one has no length and ends with its connection; reset on the way it isn't whole.
+    An endless answer has no length and ends when its connection is closed; if the connection is
+    reset instead, the answer is incomplete.
     """
 
     MUTE = "mute"
@@ -57,7 +59,7 @@
 
 
 class Surplus(StrEnum):
-    """When what is behind an answer comes."""
+    """When the bytes that follow a faulty answer are sent."""
 
     AT_ONCE = "at-once"
     LATE = "late"
@@ -66,10 +68,10 @@
 
 @dataclass
 class OddAnswers:
-    """What is odd now; `gate` is what everything that goes out passes.
+    """The fault of a runner's answers, with the gate that all its output passes.
 
-    `tell_aim` is called shortly before what was held up goes out; `notices` take their orders from
-    the same stream.
+    `announce_release` is called shortly before held output is released; `notices` get their orders
+    from the same stream.
     """
 
     random: Random
@@ -82,7 +84,7 @@
     given_up: list[float] = field(default_factory=list)
 
     async def obey(self, orders: trio.abc.ReceiveStream) -> None:
-        """Do what comes on a stream of lines until it ends."""
+        """Read orders, one JSON line each, and apply them until the stream ends."""
         rest = b""
         while data := await orders.receive_some():
             *lines, rest = (rest + data).split(b"\n")
@@ -103,15 +105,16 @@
             self.until = trio.current_time() + order["seconds"]
 
     def draw(self) -> Odd | None:
-        """Return what is to be wrong with the next answer, None where nothing is."""
+        """Draw the fault of the next answer, or None."""
         if trio.current_time() < self.until and self.random.random() < ODD_SHARE:
             return self.kind
         return None
 
     async def before_report(self) -> None:
-        """Leave a question unanswered while that is aimed at; whoever asks gives it up meanwhile.
+        """Delay the answer to a control query beyond its timeout during an aimed hold.
 
-        Where it is the second one in a row, what is held up goes out in the moment of its end.
+        If the previous query timed out just before, release the held output at the moment at which
+        this one times out.
         """
         now = trio.current_time()
         if now >= self.aimed_until:
@@ -127,7 +130,7 @@
         await trio.sleep_until(self.aimed_until)
 
     async def behind(self, kind: Odd | None, conversation: Conversation, answer: bytes) -> None:
-        """Send what an odd answer has behind it: at once, late, or where the next one is due."""
+        """Send the surplus of a faulty answer: at once, late or before the next answer."""
         if kind not in (Odd.GARBAGE, Odd.TWICE):
             return
         surplus = answer if kind is Odd.TWICE else self.random.choice(GARBAGE)
@@ -141,6 +144,6 @@
 
 
 def raw_head(headers: tuple[tuple[bytes, bytes], ...]) -> bytes:
-    """Return the head of an answer that ends with its connection."""
+    """Return the head of an answer that ends when its connection is closed."""
     lines = [name + b": " + value for name, value in headers]
     return b"\r\n".join((b"HTTP/1.1 200 OK", *lines, b"", b""))
--- a/soak/path_check.py
+++ b/soak/path_check.py
@@ -1,4 +1,4 @@
-"""Checks before a stream starts that the runners on its path hold their parts."""
+"""Checks before a stream starts that the runners on its path hold the layers of their stages."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -7,18 +7,17 @@
 
 __all__ = ["PathCheck", "PathRefusal", "RunningStream"]
 
-# Response statuses for a part that its runner doesn't hold and for a runner that doesn't answer.
+# Response statuses for a stage whose layers its runner doesn't hold and for a runner that doesn't
+# answer.
 NOT_HELD_STATUS = 421
 NO_ANSWER_STATUS = 503
-# How long a stream waits for an unavailable runner before it is refused or, once started, cut,
-# in seconds.
+# How long a stream waits for an unavailable runner before it is refused or, once started, aborted.
 STALL_SECONDS = 2.5
-# The timeout of one query, in seconds.
 QUERY_TIMEOUT_SECONDS = 1.0
-# The delay before a query is retried and the interval at which the path is rechecked, in seconds.
+# The delay before a query is retried and the interval at which the path is rechecked.
 RETRY_SECONDS = 0.1
 
-# The address of a runner, the first layer of its part and the layer after the last one.
+# The address of a runner, the first layer of its stage and the layer after the last one.
 Part = tuple[str, int, int]
 
 
@@ -45,7 +44,7 @@
 class PathCheck:
     """Queries the runners on a path for the layers that they hold.
 
-    A missing answer doesn't mean that a part isn't held, because a busy runner may answer late.
+    A missing answer doesn't mean that layers aren't held, because a busy runner may answer late.
 
     Args:
       fetch_held_range: returns the layers that a runner holds, or None if it doesn't answer within
@@ -58,7 +57,7 @@
         self._fetch_held_range = fetch_held_range
 
     async def find_refusal(self, stream: RunningStream) -> PathRefusal | None:
-        """Return why a stream can't start, or None once every runner holds its part."""
+        """Return why a stream can't start, or None once every stage is held."""
         deadline = trio.current_time() + STALL_SECONDS
         while True:
             path = stream.path
@@ -100,7 +99,7 @@
 async def _wait_for_result(
     stream: RunningStream, path: list[Part], held_ranges: _HeldRanges, deadline: float
 ) -> PathRefusal | None:
-    """Return a refusal, or None once all parts are held or the path has been replaced."""
+    """Return a refusal, or None once all stages are held or the path has been replaced."""
     while stream.path is path:
         for address, first, end in path:
             held = held_ranges.by_address.get(address)
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on the loopback address that delays, cuts, silences or resets what passes it."""
+"""A TCP proxy on the loopback address that delays, blocks or resets its connections."""
 
 import socket
 from dataclasses import dataclass, field
@@ -10,16 +10,15 @@
 
 __all__ = ["Mode", "Proxy"]
 
-# The most that is read at once, bytes.
 CHUNK_BYTES = 64 * 1024
-# What a narrow proxy reads and keeps at once, and the longest segment it takes, bytes: the sender
-# soon feels a slow reader behind it.
+# The read size, the socket buffers and the largest segment of a proxy with small buffers, so that a
+# slow reader soon blocks the sender.
 NARROW_BYTES = 4096
 NARROW_SEGMENT_BYTES = 1400
 
 
 class Mode(StrEnum):
-    """What a proxy does with bytes."""
+    """What a proxy does with the bytes that it receives."""
 
     PASS = "pass"
     DELAY = "delay"
@@ -29,9 +28,9 @@
 
 @dataclass
 class Proxy:
-    """Passes connections to `port` on to `target`; bytes held up by a cut are passed on later.
+    """Forwards connections from `port` to `target`; blocked bytes are forwarded later.
 
-    A `narrow` one keeps little of what goes outwards, so that a slow reader holds its sender up.
+    With `small_buffers` it buffers little of the output, so that a slow reader blocks its sender.
     """
 
     port: int
@@ -44,23 +43,23 @@
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """The address that the proxy listens on."""
         return f"{HOST}:{self.port}"
 
     def set(self, mode: Mode, delay: float = 0.0) -> None:
-        """Change what it does from now on."""
+        """Change the mode from now on."""
         self.mode, self.delay = mode, delay
         self.changed.set()
         self.changed = trio.Event()
 
     def reset(self) -> None:
-        """Reset every connection that passes."""
+        """Reset all open connections."""
         for pair in list(self._pairs):
             for stream in pair:
                 reset(stream)
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Pass connections on until cancelled."""
+        """Accept and forward connections until cancelled."""
         (listener,) = await trio.open_tcp_listeners(self.port, host=HOST, backlog=BACKLOG)
         task_status.started()
         async with trio.open_nursery() as nursery:
@@ -95,7 +94,7 @@
                 nursery.start_soon(self._pass_on, near, far, True)
                 nursery.start_soon(self._pass_on, far, near, False)
         except* (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
-            pass  # One side is gone; the other learns of it by the reset below.
+            pass  # One side is closed; the other one is reset below.
         finally:
             self._pairs.discard(pair)
             for stream in pair:
@@ -112,7 +111,7 @@
         await sink.send_eof()
 
     async def _let_through(self, inwards: bool) -> None:
-        """Wait for as long as bytes in a direction are held up."""
+        """Wait while bytes in a direction are blocked or delayed."""
         while self.mode is Mode.SILENT or (self.mode is Mode.ONE_WAY and not inwards):
             await self.changed.wait()
         if self.mode is Mode.DELAY:
--- a/soak/runner.py
+++ b/soak/runner.py
@@ -1,9 +1,9 @@
-"""A stand-in of a runner, as a process of its own: `python -m soak.runner SPEC`.
+"""A stand-in runner as a separate process: `python -m soak.runner SPEC`.
 
-SPEC is JSON with the fields of `RunnerSpec`. What it does oddly is told on its standard input, as
-in `soak.odd_answers`. Each run, refusal of an order and broken rule is
-written to standard output as one JSON line, before anything is answered. What it asks for in its
-answers is told there too, as in `soak.notices`.
+SPEC is JSON with the fields of `RunnerSpec`. Orders on standard input make it answer incorrectly,
+as described in `soak.odd_answers`, or announce a backoff, a rate limit or its shutdown in its
+answers, as described in `soak.notices`. It writes each arrival, execution, notice and order beyond
+its capacity to standard output as one JSON line, before it answers.
 """
 
 import json
@@ -29,34 +29,33 @@
 
 __all__ = ["RunnerSpec"]
 
-# Between two writes of a runner's row, seconds; LAPSE_SECONDS in site.py is three times as long.
+# The row's time to live, ROW_TTL_SECONDS in site.py, is three times as long.
 BEAT_SECONDS = 0.4
-# Between two events of a stream, seconds.
+# The time between two events of a stream.
 EVENT_SECONDS = 0.02
-# Between two rounds in which the other runners of the paths are asked whether they are there, and
-# the time in which they must answer, seconds.
+# Probes of the other runners on the paths of running streams.
 PULSE_SECONDS = 0.1
 PULSE_ANSWER_SECONDS = 0.25
-# How long a stream must wait before the report names it, seconds.
+# The report lists a stream as stalled once it has waited for this time.
 REPORT_LAG_SECONDS = 0.2
-# How long an order takes, and a plain call, seconds.
+# How long an order and a request that isn't a stream take.
 LOAD_SECONDS = 0.15
 CALL_SECONDS = 0.05
-# A stream that breaks off does so in the middle of this event.
+# A stream with an injected break is aborted in the middle of this event.
 EVENTS_BEFORE_BREAK = 8
 PAD = PAD_HEADER.decode()
-# The header of what runners ask each other.
+# Marks the requests that runners send to each other.
 PROBE = b"x-soak-probe"
-# The time for a write to the store, seconds.
 WRITE_SECONDS = 1.0
 
 
 @dataclass(frozen=True)
 class RunnerSpec:
-    """One start of a runner; `address` is where others reach it, `layers` how many it may hold.
+    """The configuration of one incarnation of a runner.
 
-    An order takes `load_seconds`. `born` is the Unix millisecond of the start, by which starts
-    under one id are told apart.
+    `address` is where other processes reach it, `layers` the number of layers that it may hold and
+    `load_seconds` the duration of an order. `born` is the start time in Unix milliseconds, which
+    distinguishes the incarnations of one instance.
     """
 
     instance: str
@@ -70,17 +69,17 @@
     load_seconds: float = LOAD_SECONDS
 
     def text(self) -> str:
-        """Return it as the program's argument."""
+        """Return the spec as the program's argument."""
         return json.dumps(asdict(self))
 
 
 def tell(**fields: object) -> None:
-    """Write one line of the record."""
+    """Write one JSON line to standard output, where the soak reads it."""
     os.write(1, json.dumps(fields).encode() + b"\n")
 
 
 class Runner:
-    """What a runner holds and does."""
+    """The state and the HTTP handlers of a stand-in runner."""
 
     def __init__(self, spec: RunnerSpec) -> None:
         self._spec = spec
@@ -98,7 +97,7 @@
         self._nursery: trio.Nursery | None = None
 
     async def run(self) -> None:
-        """Serve until killed."""
+        """Serve until the process is killed."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             await nursery.start(serve_each, self._spec.port, self._open_one)
@@ -149,7 +148,7 @@
     async def _handle(
         self, conversation: Conversation, request: IncomingRequest, exchange: Exchange
     ) -> None:
-        """Answer one request."""
+        """Answer one request: a report, an order or a client's request."""
         await conversation.send_kept()
         path, _ = fields_of(request)
         if path == "/v1/report":
@@ -307,7 +306,7 @@
         await answer.finish()
 
     async def _until_whole(self, stream: RunningStream) -> bool:
-        """Wait while a part is lost; return whether the stream may go on."""
+        """Wait while a stage of the path is lost; return whether the stream may continue."""
         deadline = trio.current_time() + STALL_SECONDS
         while lost := [each[0] for each in stream.path if each[0] in self._lost]:
             stream.waits_for = stream.waits_for or (lost[0], trio.current_time())
@@ -318,7 +317,7 @@
         return True
 
     async def _probe_parts(self) -> None:
-        """Keep asking the other runners of the paths under way whether they are there."""
+        """Probe the other runners on the paths of running streams at each interval."""
         while True:
             others = {each[0] for stream in self._streams.values() for each in stream.path}
             others.discard(self._spec.address)
@@ -334,7 +333,7 @@
 
 
 class _Answer:
-    """One 200 in the making; `odd` says what is wrong with it."""
+    """A 200 answer that is being sent; `fault` is what is wrong with it, if anything."""
 
     def __init__(
         self,
@@ -363,7 +362,7 @@
         return self._odd in (Odd.ENDLESS, Odd.ENDLESS_RESET)
 
     async def whole(self, body: bytes) -> None:
-        """Answer at once."""
+        """Send a complete answer that isn't a stream."""
         if self._odd is Odd.ENDLESS_RESET:
             await self._conversation.send_all(raw_head(self._headers) + body[: len(body) // 2])
             self._conversation.reset()
@@ -377,7 +376,7 @@
             await self._exchange.whole(200, self._headers, body)
 
     async def start(self) -> None:
-        """Begin a stream."""
+        """Send the head of a stream."""
         headers = (*self._headers, (b"content-type", b"text/event-stream"))
         if self._endless:
             await self._conversation.send_all(raw_head(headers))
@@ -400,12 +399,15 @@
         return True
 
     async def finish(self) -> None:
-        """End a stream."""
+        """Complete a stream."""
         if not self._endless:
             await self._exchange.finish()
 
     def cut(self) -> None:
-        """Break a stream off; an end of the connection would make an endless one whole."""
+        """Abort a stream.
+
+        An answer without a length is reset, since closing its connection would complete it.
+        """
         if self._endless:
             self._conversation.reset()
 
--- a/soak/site.py
+++ b/soak/site.py
@@ -1,4 +1,4 @@
-"""One site of the soak: the store, runners, entries and proxies, all on this machine."""
+"""One site of the soak: the store, runners, entries and proxies, all on the local machine."""
 
 import json
 import os
@@ -29,21 +29,22 @@
 
 LAYERS = 8
 ENTRIES = 3
-# The entry whose machine is suspended wherever its process is stopped, by its number.
+# The number of the entry that runs `soak.suspendable`, for which a stop of its process is a
+# suspension of its machine.
 SUSPENDED_ENTRY = 2
-# Layers that one runner may hold: a domain of four holds the model with room to heal.
+# The layers that one runner may hold. A domain of four runners can heal a lost one.
 ROOM = 5
 LAYER_MB = 100.0
-# A runner has a new id after so many starts: both ways come up on all sites.
+# A runner gets a new id after this many starts, so that restarts under the same id and under a new
+# one both occur.
 STARTS_UNDER_ONE_ID = 2
-# A row that wasn't written for so long is dropped at the next look, seconds.
+# A row that hasn't been written for this time is removed at the next check.
 LAPSE_SECONDS = 1.2
-# How long an entry may take to say that it is ready, seconds.
 READY_SECONDS = 0.2
-# How long entries stand still while a question's end and what an upstream held up meet, seconds:
-# less than what they take for a pause of their own.
+# Shorter than a pause that an entry detects as a pause of its own process.
 HELD_SECONDS = 0.045
-# The entries' settings: the time to stop in, and the age at which a key counts as gone, seconds.
+# The entries' settings stop_grace and revocation: the time allowed for a shutdown, and the time
+# after which a removed key must be refused.
 GRACE_SECONDS = 5
 REVOCATION_SECONDS = 3
 SETTINGS = """[node]
@@ -90,7 +91,7 @@
 
 @dataclass
 class RunnerProcess:
-    """A runner's place: its proxy, and the process that runs there now, if any."""
+    """A runner that may be restarted: its proxy and its current process, if any."""
 
     spec: RunnerSpec
     proxy: Proxy
@@ -100,7 +101,7 @@
 
 @dataclass
 class Entry:
-    """An entry's place: its settings, its proxies and its process."""
+    """An entry that may be restarted: its settings, its proxies and its process."""
 
     name: str
     settings: Path
@@ -116,10 +117,11 @@
 
 @dataclass
 class Site:
-    """Everything of one run.
+    """All processes of one seed and what was observed of them.
 
-    `records` are the runners' lines, `broken` promises seen so far, `judged` counts what there was
-    to be judged; `entry_starts` is when each entry was started.
+    `records` are the lines that the runners wrote, `violations` the violated guarantees found so
+    far, `judged` counts the cases that were checked, and `entry_started_at` holds the start times
+    of each entry.
     """
 
     folder: Path
@@ -135,7 +137,7 @@
     _nursery: trio.Nursery | None = None
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Start everything, as the platform does: the store, the runners, then the entries."""
+        """Start the store, the runners and the entries in the order in which the platform does."""
         self._nursery = nursery
         await nursery.start(serve, self.store_port, self.store.handle)
         for domain in "ab":
@@ -184,7 +186,10 @@
         self.start_entry(entry)
 
     def start_runner(self, runner: RunnerProcess) -> None:
-        """Start a runner anew, empty; each second start keeps the id of the one before."""
+        """Start a new incarnation of a runner, with no layers held.
+
+        Every second incarnation keeps the id of the one before it.
+        """
         name = f"{runner.spec.instance}.{runner.starts // STARTS_UNDER_ONE_ID}"
         runner.starts += 1
         spec = replace(runner.spec, instance=name, born=int(time() * 1000))
@@ -193,13 +198,13 @@
         self._nursery.start_soon(self._read_records, runner.process)
 
     def tell_runner(self, runner: RunnerProcess, **order: object) -> None:
-        """Tell a runner what to do oddly; one that is gone does nothing."""
+        """Send an order to a runner's standard input; do nothing if the runner has exited."""
         with suppress(BrokenPipeError):
             runner.process.stdin.write(json.dumps(order).encode() + b"\n")
             runner.process.stdin.flush()
 
     def start_entry(self, entry: Entry) -> None:
-        """Start an entry; its log goes to a file beside its settings."""
+        """Start an entry; its log is written to a file beside its settings."""
         entry.starts += 1
         self.entry_starts[entry.name].append(trio.current_time())
         entry.stopping = False
@@ -233,7 +238,11 @@
             self.broken.append(f"a path doesn't run every layer once: {record}")
 
     async def _hold_entries(self) -> None:
-        """Let all entries stand still for a moment, so that they find at once what came in it."""
+        """Pause all entries briefly.
+
+        When they resume, a control query has timed out and the runner has released its output, so
+        that they handle both at once.
+        """
         processes = [each.process for each in self.entries]
         for signal_number in (signal.SIGSTOP, signal.SIGCONT):
             for process in processes:
@@ -241,7 +250,7 @@
             await trio.sleep(HELD_SECONDS)
 
     async def _lapse(self) -> None:
-        """Drop the rows of runners that don't write any more, as the platform's store does."""
+        """Remove the rows of runners that no longer write them, as the platform's store does."""
         while True:
             newest = {key: at for at, table, key, _ in self.store.log if table == "servers"}
             await trio.sleep(LAPSE_SECONDS)
@@ -250,7 +259,7 @@
                     self.store.put(table, key, None)
 
     async def ready(self, entry: Entry) -> bool:
-        """Return whether an entry calls itself ready."""
+        """Return whether an entry reports that it is ready."""
         with trio.move_on_after(READY_SECONDS):
             try:
                 async with await trio.open_tcp_stream(HOST, entry.ready_port) as stream:
@@ -261,7 +270,7 @@
         return False
 
     def close(self) -> None:
-        """End every process that this run started."""
+        """Kill every process that this site has started."""
         for process in [each.process for each in (*self.runners, *self.entries)]:
             if process is not None and process.poll() is None:
                 process.send_signal(signal.SIGCONT)
--- a/soak/store.py
+++ b/soak/store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's store: rows in memory, conditional writes, a feed of changes."""
+"""A stand-in for the platform's store: rows in memory, conditional writes and a change feed."""
 
 import json
 from base64 import b64encode
@@ -14,7 +14,7 @@
 
 @dataclass
 class StandinStore:
-    """All rows by (table, key); `log` holds every change as (version, table, key, value)."""
+    """Rows by (table, key); `log` holds every change as (version, table, key, value)."""
 
     rows: dict[tuple[str, str], tuple[int, str]] = field(default_factory=dict)
     log: list[tuple[int, str, str, str | None]] = field(default_factory=list)
@@ -23,7 +23,7 @@
     changed: trio.Event = field(default_factory=trio.Event)
 
     def put(self, table: str, key: str, value: str | None) -> None:
-        """Write a row, encoded; None removes it."""
+        """Write a row with an encoded value; None removes it."""
         self.version += 1
         self.log.append((self.version, table, key, value))
         if value is None:
@@ -34,11 +34,11 @@
         self.changed = trio.Event()
 
     def put_json(self, table: str, key: str, value: object) -> None:
-        """Write a row that holds JSON."""
+        """Write a row with a JSON value."""
         self.put(table, key, b64encode(json.dumps(value).encode()).decode())
 
     async def handle(self, request: IncomingRequest, exchange: Exchange) -> None:
-        """Answer one call."""
+        """Answer a read, a transaction or a feed request."""
         path, fields = fields_of(request)
         if self.refuses:
             await exchange.whole(503, JSON_TYPE, b"{}")
--- a/soak/suspendable.py
+++ b/soak/suspendable.py
@@ -1,7 +1,7 @@
-"""Runs the gateway on a machine that may be suspended: `python -m soak.suspendable`.
+"""Runs the gateway on a simulated machine that can be suspended: `python -m soak.suspendable`.
 
-A process that is stopped stands for a suspended machine: the steady clock doesn't count that time,
-`CLOCK_BOOTTIME` and the time of day do.
+Stopping the process simulates a suspension: the monotonic clock doesn't advance during that time,
+`CLOCK_BOOTTIME` and the wall clock do.
 """
 
 import os
@@ -9,19 +9,19 @@
 import signal
 import time
 
-# As the program itself does before anything else: this loads before it.
+# The program sets these handlers before anything else; this module is loaded even earlier.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 signal.signal(signal.SIGTERM, lambda number, frame: os._exit(0))
 
 __all__: list[str] = []
 
-# A process that reads no clock for longer was stopped, seconds: it looks at its streams, or for
-# something to look at, several times in this time.
+# A process that doesn't read the clock for longer was stopped. A running one checks its streams, or
+# for streams to check, several times in this time.
 LONGEST_PAUSE_SECONDS = 0.3
 
 
 class _SteadyHand:
-    """The steady clock of such a machine."""
+    """A monotonic clock that excludes the times of suspension."""
 
     def __init__(self) -> None:
         self._read = time.monotonic
@@ -29,7 +29,7 @@
         self._suspended = 0.0
 
     def seconds(self) -> float:
-        """Return the seconds in which the machine was not suspended."""
+        """Return the clock's time in seconds."""
         now = self._read()
         if now > self._last + LONGEST_PAUSE_SECONDS:
             self._suspended += now - self._last
@@ -38,7 +38,7 @@
 
 
 def _suspend_steady_clock() -> None:
-    """Let everything in this process that reads the steady clock read the hand that stands."""
+    """Replace all functions of `time` that read the monotonic clock."""
     hand = _SteadyHand()
     usual = time.clock_gettime
 
@@ -50,7 +50,7 @@
 
 
 if __name__ == "__main__":
-    # Before anything else is imported: most keep the function that they read the clock by.
+    # Must precede other imports, since most modules keep a reference to the clock function.
     _suspend_steady_clock()
 
     runpy.run_module("deckcourse.platform", run_name="__main__")
--- a/soak/wire.py
+++ b/soak/wire.py
@@ -1,4 +1,4 @@
-"""The stand-ins' side of HTTP over TCP, and the pieces of the platform's wire that they speak."""
+"""HTTP over TCP for the stand-ins, and the parts of the platform's protocol that they need."""
 
 import os
 import socket
@@ -23,12 +23,10 @@
 ]
 
 HOST = "127.0.0.1"
-# Connections that may wait to be accepted.
 BACKLOG = 256
-# The headers of each answer in JSON.
 JSON_TYPE = ((b"content-type", b"application/json"),)
 
-# Ports below those that the system gives to connections; each process takes a part of its own.
+# Below the system's ephemeral ports. Each process uses a range of its own, chosen by its id.
 LOWEST_PORT = 12_000
 PORT_RANGES = 300
 PORTS_OF_ONE_PROCESS = 60
@@ -36,15 +34,15 @@
 
 
 def free_port() -> int:
-    """Return a TCP port that nobody listens on; each call another."""
+    """Return a TCP port that is not in use; each call returns another one."""
     for port in _ports:
         with socket.socket() as probe:
             try:
                 probe.bind((HOST, port))
             except OSError:
-                continue  # Taken: the next one may be free.
+                continue  # In use; try the next port.
             return port
-    raise AssertionError("the ports are endless")
+    raise AssertionError("the sequence of ports is endless")
 
 
 def fields_of(request: IncomingRequest) -> tuple[str, dict[str, str]]:
@@ -54,7 +52,7 @@
 
 
 def parse_path(text: str) -> list[tuple[str, int, int]]:
-    """Return a path over layers as (address, first, end); empty for an empty text."""
+    """Return a path as (address, first layer, end layer) per stage; empty for an empty text."""
     parts = []
     for part in filter(None, text.split(",")):
         address, _, layers = part.partition("=")
@@ -66,7 +64,7 @@
 async def serve(
     port: int, handler: Handler, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
 ) -> None:
-    """Answer HTTP requests on a port until cancelled."""
+    """Serve HTTP requests on a port until cancelled."""
     await serve_each(port, lambda stream: (stream, handler), task_status)
 
 
@@ -75,12 +73,12 @@
     open_one: Callable[[trio.SocketStream], tuple[trio.abc.Stream, Handler]],
     task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Answer HTTP requests on a port until cancelled, each connection by its own handler.
+    """Serve HTTP requests on a port until cancelled, with a handler for each connection.
 
     Args:
-      port: where.
-      open_one: returns the stream and the handler for an accepted connection.
-      task_status: told once it listens.
+      port: the port to listen on.
+      wrap_connection: returns the stream and the handler for an accepted connection.
+      task_status: started once the port accepts connections.
     """
     (listener,) = await trio.open_tcp_listeners(port, host=HOST, backlog=BACKLOG)
     bounds: Callable[[], CallerBounds] = CallerBounds
@@ -92,10 +90,10 @@
 
 
 def reset(stream: trio.SocketStream) -> None:
-    """Close a connection at once, so that the other side gets a reset."""
+    """Close a connection with a TCP reset."""
     try:
         linger = (1).to_bytes(4, "little") + (0).to_bytes(4, "little")
         stream.socket.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_LINGER, linger)
     except OSError:
-        return  # Closed already.
+        return  # Already closed.
     stream.socket.close()
