--- a/soak/caller_connection.py
+++ b/soak/caller_connection.py
@@ -1,4 +1,4 @@
-"""A caller's connection to one entry: kept for many requests, read strictly, at times slowly."""
+"""A caller's connection to one entry: reused, parsed strictly and in some cases read slowly."""
 
 import socket
 from contextlib import suppress
@@ -11,13 +11,12 @@
 
 __all__ = ["CallerConnection", "Manner", "connect"]
 
-# What is read at once, bytes.
 READ_BYTES = 4096
-# The receive buffer and the longest segment of a caller that reads slowly, bytes: what a sender may
-# have on its way follows from both.
+# The receive buffer and the largest segment of a caller that reads slowly. Together they limit what
+# a sender may have in flight.
 NARROW_BYTES = 4096
 NARROW_SEGMENT_BYTES = 1400
-# For how long a caller looks for bytes behind an answer that said that it is the last, seconds.
+# How long a caller waits for surplus bytes after an answer with `Connection: close`.
 LAST_LOOK_SECONDS = 0.3
 CONNECT_SECONDS = 1.0
 
@@ -26,8 +25,8 @@
 class Manner:
     """How a caller reads one answer.
 
-    `pauses` are (bytes, seconds): behind so many bytes it stands still for so long. It goes away
-    behind `leaves_after` bytes or `leaves_in` seconds, whichever comes first.
+    `pauses` are (bytes, seconds): the caller pauses for this time after this number of bytes. It
+    disconnects after `disconnects_after_bytes` or `disconnects_after_seconds`, whichever is first.
     """
 
     pauses: tuple[tuple[int, float], ...] = ()
@@ -36,18 +35,18 @@
 
     @classmethod
     def slow(cls, random: Random, most: int, longest: float, size: int) -> "Manner":
-        """Draw one that stands still a few times, in an answer of so many bytes."""
+        """Draw the pauses in an answer of `answer_bytes` bytes."""
         places = sorted(random.randrange(size) for _ in range(random.randint(1, most)))
         return cls(tuple((each, random.uniform(0.1, longest)) for each in places))
 
     @classmethod
     def leaving(cls, random: Random, longest: float, size: int) -> "Manner":
-        """Draw one that goes away in the middle."""
+        """Draw when the caller disconnects during an answer of `answer_bytes` bytes."""
         return cls((), random.randrange(size), random.uniform(0.0, longest))
 
 
 class CallerConnection:
-    """One open connection; `surplus` is what came on it that belongs to no request."""
+    """An open connection; `surplus` holds received bytes that belong to no request."""
 
     def __init__(self, entry: str, stream: trio.SocketStream) -> None:
         self.entry = entry
@@ -56,15 +55,15 @@
         self._requests = 0
 
     async def usable(self) -> bool:
-        """Return whether nothing came since the last answer, neither bytes nor the end."""
+        """Return whether neither bytes nor a close arrived after the last answer."""
         if not self._stream.socket.is_readable():
             return True
-        with suppress(trio.BrokenResourceError):  # It was reset.
+        with suppress(trio.BrokenResourceError):  # The connection was reset.
             self.surplus = await self._stream.receive_some(READ_BYTES)
         return False
 
     async def ask(self, request: bytes, call: Call, manner: Manner) -> bool:
-        """Send a request and read its answer; return whether the connection may be used again."""
+        """Send a request and read its answer; return whether the connection is reusable."""
         self._requests += 1
         call.number, call.entry = self._requests, self.entry
         with trio.move_on_after(manner.leaves_in) as leaving:
@@ -96,23 +95,23 @@
                 await trio.sleep(pauses.pop(0)[1])
 
     async def _look_behind(self, call: Call) -> None:
-        """See that nothing comes behind an answer that said that it is the last one."""
+        """Check that no bytes follow an answer with `Connection: close`."""
         with trio.move_on_after(LAST_LOOK_SECONDS):
             data = await self._stream.receive_some(READ_BYTES)
             if data:
                 call.feed(data)
 
     def close(self) -> None:
-        """Close at once."""
+        """Close the socket immediately."""
         self._stream.socket.close()
 
 
 async def connect(entry: str, narrow: bool) -> CallerConnection | None:
-    """Return a new connection to `IP:port`, None where there is none to be had.
+    """Return a new connection, or None if it can't be opened.
 
     Args:
-      entry: where to.
-      narrow: whether little fits between the sender and this side.
+      entry: the address, `IP:port`.
+      small_buffers: whether to limit the bytes in flight from the sender.
     """
     host, _, port = entry.rpartition(":")
     sock = trio.socket.socket()
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of several entries, each with open connections that it keeps until they end."""
+"""Callers of several entries, each of which reuses its open connections until they are closed."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -11,24 +11,24 @@
 
 __all__ = ["DEADLINE_SECONDS", "LATE_SECONDS", "PROMISES", "Callers", "request_bytes"]
 
-# What each caller states as its deadline, seconds: ten times a stream that meets no fault.
+# The deadline that each caller sends: ten times the duration of a stream without faults.
 DEADLINE_SECONDS = 6.0
-# What a final answer may take beyond the caller's deadline, seconds: the process may be busy.
+# The time that a final answer may take beyond the deadline, since the process may be busy.
 LATE_SECONDS = 2.0
-# Between two requests of one caller in the mean, seconds: half to one and a half times as long.
+# The mean time between two requests of a caller; it varies from half to one and a half times that.
 PAUSE_SECONDS = 0.12
-# The share of requests for which a caller turns to another entry without need.
+# The share of requests for which a caller switches to another entry without need.
 TURNING_SHARE = 0.1
-# The statuses that promise that nobody ran the request.
+# The statuses that guarantee that the request was not executed.
 PROMISES = (408, 421, 429, 503)
-# The routes that are drawn from; streams, the longest requests, are drawn twice as often.
+# The routes that are drawn from. Streams, the longest requests, are drawn twice as often.
 KINDS = ("stream", "stream", "fragile", "once", "again")
 STREAMS = ("stream", "fragile")
-# One caller in so many reads slowly: it stands still for so often and so long at the most, seconds.
+# Every n-th caller reads slowly, with some pauses in each answer.
 SLOW_ONE_IN = 3
 MOST_PAUSES = 3
 LONGEST_PAUSE_SECONDS = 1.0
-# The share of requests in whose middle the caller goes away, after so long at the most, seconds.
+# The share of requests during which the caller disconnects.
 LEAVING_SHARE = 0.06
 LONGEST_STAY_SECONDS = 0.6
 
@@ -37,8 +37,8 @@
 class Callers:
     """Callers of several entries; an entry that isn't ready gets no new connection.
 
-    `entries` are addresses, `ready` those that said so last; `keys` are tried in turn. `broken` are
-    promises that no single call shows to be broken.
+    `entries` are addresses, `ready` the addresses of those that last reported ready; each request
+    uses one of `keys`. `violations` are violated guarantees that no single call shows.
     """
 
     entries: list[str]
@@ -50,13 +50,13 @@
     _stopped: bool = False
 
     async def run(self, count: int) -> None:
-        """Keep so many callers asking until `stop`."""
+        """Run a number of concurrent callers until `stop`."""
         async with trio.open_nursery() as nursery:
             for number in range(count):
                 nursery.start_soon(self._ask_on, number)
 
     def stop(self) -> None:
-        """Send nothing new; calls under way end."""
+        """Send no new requests; calls in flight end normally."""
         self._stopped = True
 
     async def _ask_on(self, number: int) -> None:
@@ -64,7 +64,7 @@
         open_to: dict[str, CallerConnection] = {}
         asked = 0
         while not self._stopped:
-            # A caller stays with its entry for as long as its connection lasts.
+            # A caller keeps its entry while its connection lasts.
             gone = entry not in open_to and entry not in self.ready
             if gone or self.random.random() < TURNING_SHARE:
                 entry = self.random.choice(sorted(self.ready) or self.entries)
@@ -105,7 +105,7 @@
         connection = open_to.get(entry)
         if connection is not None and not await connection.usable():
             if connection.surplus:
-                self.broken.append(f"{call.name}: bytes of no request: {connection.surplus!r}")
+                self.broken.append(f"{call.name}: unsolicited bytes: {connection.surplus!r}")
             self._drop(open_to, entry)
             connection = None
         if connection is None:
@@ -123,12 +123,12 @@
 
 
 def body_of(call: Call) -> bytes:
-    """Return a caller's body: it sends the same one each time, and others send others."""
+    """Return the body of a call, which is the same for all calls of one caller."""
     return call.name.partition("r")[0].encode()
 
 
 def request_bytes(call: Call, body: bytes) -> bytes:
-    """Return a request as it goes over the wire."""
+    """Return a request as it is sent on the connection."""
     lines = (
         f"POST /{call.kind}/x HTTP/1.1",
         "Host: h.example",
--- a/soak/calls.py
+++ b/soak/calls.py
@@ -1,4 +1,4 @@
-"""One call of a caller: what came of it, and what is wrong with that."""
+"""One call of a caller: its result, and the checks of its answer."""
 
 from dataclasses import dataclass, field
 from os.path import commonprefix
@@ -10,16 +10,17 @@
 
 OK = 200
 EVENT_END = b"\n\n"
-# So many of the last bytes of a body that is wrong are told, bytes.
+# The length to which the bytes of a wrong body are cut in messages.
 SHOWN_BYTES = 120
 
 
 @dataclass
 class Call:
-    """One request and what came of it.
+    """One request and its result.
 
-    `pad` is by how much its events are longer, bytes; `left` says that the caller went away before
-    the end; `unreadable` what it could not read; `number` which request it was on its connection.
+    `name` is the request id, `kind` the route and `pad` the number of bytes by which its events are
+    longer. `number` counts the requests on its connection. `has_disconnected` says that the caller
+    closed the connection before the end, `parse_error` why the answer is malformed.
     """
 
     name: str
@@ -36,26 +37,26 @@
 
     @property
     def status(self) -> int:
-        """The status of its answer, 0 where none came."""
+        """The status of the answer, or 0 if there was none."""
         return self.answer.status
 
     @property
     def whole(self) -> bool:
-        """Whether an answer came to its end."""
+        """Whether the answer is complete."""
         return self.answer.whole
 
     @property
     def served(self) -> bool:
-        """Whether the caller has the whole answer."""
+        """Whether the caller received a complete, well-formed answer with status 200."""
         return self.whole and self.status == OK and not self.unreadable
 
     @property
     def place(self) -> str:
-        """What it was, for whoever looks for it in the logs."""
+        """The call as it is described in reports, with what identifies it in the logs."""
         return f"{self.name} ({self.kind}, request {self.number} on its connection to {self.entry})"
 
     def feed(self, data: bytes) -> bool:
-        """Take in bytes of the answer; return whether they could be read."""
+        """Parse bytes of the answer; return whether they are well-formed."""
         try:
             self.answer.feed(data)
         except UnreadableError as error:
@@ -63,14 +64,17 @@
         return not self.unreadable
 
     def wrong(self) -> str | None:
-        """Return what breaks a promise in the answer itself, None where nothing does."""
+        """Return the guarantee that the answer itself violates, or None."""
         if self.unreadable:
             return f"{self.place}: no HTTP answer: {self.unreadable}"
         wrong = self._wrong_head() or self._wrong_body()
         return f"{self.place}: {wrong}" if wrong else None
 
     def _wrong_head(self) -> str | None:
-        """Return what in the head is another request's; a head that isn't whole isn't looked at."""
+        """Return the value in the head that belongs to another request, or None.
+
+        An incomplete head isn't checked.
+        """
         answer = self.answer
         if not answer.head_whole:
             return None
