--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,7 +1,7 @@
-"""Plays seeds of the soak: `python -m soak [--seconds N] [--jobs N] [--only KIND] SEED...`.
+"""Runs seeds of the soak: `python -m soak [--seconds N] [--jobs N] [--only KIND] SEED...`.
 
-Each seed is played by a process of its own; the exit code is 1 where one broke a promise. The
-promises are those of docs/PROOFS.md, seen from callers and runners.
+Each seed runs in a process of its own; the exit code is 1 if one of them violated a guarantee. The
+guarantees are those of docs/PROOFS.md, as callers and runners observe them.
 """
 
 import argparse
@@ -26,39 +26,36 @@
 from soak.rate_judge import RateJudge
 from soak.site import GRACE_SECONDS, REVOCATION_SECONDS, Site, desired_state
 
-# From the start of all processes until callers and faults begin, seconds.
+# The time from the start of all processes to the first calls and faults.
 START_SECONDS = 5.0
-# Callers that ask at once.
 CALLERS = 12
-# After the last fault everything must be as it was within the first part of this; of the calls sent
-# in the last part, so many must be served.
+# The time without faults at the end. The site must have recovered before its last JUDGED_SECONDS:
+# of the calls sent in these, at least the share MIN_SERVED_SHARE must be served.
 CALM_SECONDS = 10.0
 JUDGED_SECONDS = 4.0
 SERVED_SHARE = 0.9
-# Between two looks at the entries, seconds.
 READY_POLL_SECONDS = 0.15
-# What a request may be behind the change that takes its key away, seconds: it was on its way.
+# A request in flight may be executed this long after the revocation of its key takes effect.
 ON_ITS_WAY_SECONDS = 1.0
-# What a call may seem to take beyond the caller's own limit, seconds: the caller is busy too.
+# The excess over a call's time limit that is ignored, since the caller's process is busy too.
 MEASURING_SECONDS = 1.0
-# The kind of faults that are drawn apart: what runners ask for in their answers.
+# Kinds of faults that use random sequences of their own: notices in answers of runners, requests
+# that crash their runners, and rate limits that runners announce.
 NOTICES = "notices"
-# The same of requests that end the runners that run them.
 DEADLY = "deadly"
-# The same of rate limits that runners name.
 RATES = "rates"
 APART = {NOTICES, DEADLY, RATES}
-# Of the promises that a seed broke, so many are printed.
+# The number of violations that are printed for a seed.
 MOST_PRINTED = 10
 
 
 async def _watch_entries(site: Site, callers: Callers) -> None:
-    """Ask the entries whether they are ready, and see that none ends by itself."""
+    """Poll the entries for readiness, and record unexpected exits."""
     while True:
         for entry in site.entries:
             code = entry.process.poll()
             if code is not None and not entry.stopping:
-                site.broken.append(f"{entry.name} ended by itself, exit {code}")
+                site.broken.append(f"{entry.name} exited unexpectedly with code {code}")
                 entry.stopping = True
             ready = await site.ready(entry)
             (callers.ready.add if ready else callers.ready.discard)(entry.front.address)
@@ -66,10 +63,10 @@
 
 
 def _ended_runners(site: Site) -> list[str]:
-    """Return the stand-ins that ended by themselves: what follows from that proves nothing."""
+    """Return the stand-in runners that exited by themselves, which invalidates the result."""
     codes = {each.spec.instance: each.process.poll() for each in site.runners}
     return [
-        f"stand-in {name} ended, exit {code}" for name, code in codes.items() if code is not None
+        f"stand-in {name} exited, code {code}" for name, code in codes.items() if code is not None
     ]
 
 
@@ -93,7 +90,7 @@
         faults = Faults(
             site, callers, random, say, holds, [each for each in only if each not in APART]
         )
-        # Drawn apart, so that a seed's other faults stay what they were.
+        # These use random sequences of their own, so that the other faults of a seed don't change.
         notices = NoticeFaults(site, Random(f"notices of {seed}"), say, holds)
         deadly = DeadlyFaults(site, callers, Random(f"deadly of {seed}"), say, holds)
         rates = RateFaults(site, Random(f"rates of {seed}"), say)
@@ -118,7 +115,7 @@
         await trio.sleep(GRACE_SECONDS)
         late = [each.name for each in site.entries if each.process.poll() is None]
         if late:
-            site.broken.append(f"{late} still run {GRACE_SECONDS} s after SIGTERM")
+            site.broken.append(f"{late} still running {GRACE_SECONDS} s after SIGTERM")
         site.broken += _ended_runners(site)
         nursery.cancel_scope.cancel()
     wrong = NoticeJudge(site, callers.calls, holds).broken() + deadly.broken()
@@ -127,7 +124,7 @@
 
 
 def _judge(site: Site, callers: Callers, faults: Faults, calm_from: float) -> list[str]:
-    """Return the promises that calls and runs together show to be broken."""
+    """Return the violations that calls and executions show together."""
     runs = Counter(each["run"] for each in site.records if "run" in each)
     broken = list(callers.broken)
     for call in callers.calls:
@@ -149,22 +146,22 @@
 
 
 def _wrong_runs(call: Call, runs: int) -> list[str]:
-    """Return what is wrong with the number of runs of a call that may run only once."""
+    """Return the violations of a call that may be executed only once."""
     broken = []
     if call.kind in ("once", "fragile"):
         if runs > 1:
-            broken.append(f"{call.name} ({call.kind}) ran {runs} times")
+            broken.append(f"{call.name} ({call.kind}) was executed {runs} times")
         if call.status in PROMISES and runs:
-            broken.append(f"{call.name} ({call.kind}) got {call.status} and ran")
+            broken.append(f"{call.name} ({call.kind}) got {call.status} but was executed")
     return broken
 
 
 def _wrong_key(call: Call, runs: int, taken: float | None) -> list[str]:
-    """Return whether a call ran under a key that had been taken away for too long."""
+    """Return a violation if a call was executed too long after its key was revoked."""
     behind = REVOCATION_SECONDS + ON_ITS_WAY_SECONDS
     if taken is None or not runs or call.sent_at <= taken + behind:
         return []
-    return [f"{call.name} ran under a key taken away {call.sent_at - taken:.1f} s before"]
+    return [f"{call.name} was executed with a key revoked {call.sent_at - taken:.1f} s before"]
 
 
 def _wrong_time(call: Call) -> list[str]:
@@ -174,12 +171,12 @@
 
 
 def play(seed: int, seconds: float, only: Sequence[str] = ()) -> int:
-    """Play one seed and tell of it; return the exit code.
+    """Run one seed and print its result; return the exit code.
 
     Args:
-      seed: what chance is drawn from.
+      seed: the seed of all random choices.
       seconds: how long faults are injected.
-      only: the kinds of faults, all where none is named.
+      only: the kinds of faults; all if it is empty.
     """
     log: list[str] = []
     with tempfile.TemporaryDirectory() as folder:
@@ -203,10 +200,10 @@
 
 
 def main() -> int:
-    """Play the seeds of the command line, several at once."""
+    """Run the seeds of the command line, several at once."""
     parser = argparse.ArgumentParser(prog="python -m soak")
     parser.add_argument("--seconds", type=float, default=12.0, help="how long faults are injected")
-    parser.add_argument("--jobs", type=int, default=2, help="seeds that are played at once")
+    parser.add_argument("--jobs", type=int, default=2, help="seeds that run at the same time")
     parser.add_argument("--only", action="append", default=[], choices=sorted({*KINDS, *APART}))
     parser.add_argument("seeds", nargs="+", type=int)
     options = parser.parse_args()
--- a/soak/deadly.py
+++ b/soak/deadly.py
@@ -1,4 +1,4 @@
-"""Requests that end the runner that begins to run them, and how a stand-in of a runner does so."""
+"""Requests that crash the runner that executes them, and the crash of a stand-in runner."""
 
 import os
 import time
@@ -8,16 +8,15 @@
 
 __all__ = ["DEADLY", "DEADLY_EXIT", "end_by"]
 
-# What the body of such a request begins with.
+# The first bytes of the body of a crash request.
 DEADLY = b"deadly"
-# The exit code of a runner that ended by one.
 DEADLY_EXIT = 7
-# From the begin of the run to its end, seconds: two events of other streams come in it.
+# The time from the start of the execution to the exit: two event intervals of other streams.
 FUSE_SECONDS = 0.04
 
 
 async def end_by(body: bytes, request: str, tell: Callable[..., None]) -> None:
-    """Record that a request runs that ends this process, and end a moment later."""
+    """Record that a crash request is executed, and exit after a delay."""
     tell(deadly=body.decode(), request=request, clock=time.monotonic())
     await trio.sleep(FUSE_SECONDS)
     os._exit(DEADLY_EXIT)
--- a/soak/deadly_faults.py
+++ b/soak/deadly_faults.py
@@ -1,4 +1,4 @@
-"""Callers who send requests that end their runners again and again, and who judges that."""
+"""Callers that repeat requests which crash their runners, and the check of their quarantine."""
 
 import time
 from collections import defaultdict
@@ -16,32 +16,32 @@
 
 __all__ = ["DeadlyFaults"]
 
-# So many such requests come, each again and again and under another id each time.
+# The number of crash requests; each is repeated under a new request id each time.
 REQUESTS = 2
-# The routes that they come by.
+# The routes that are drawn from.
 KINDS = ("stream", "stream", "fragile", "once", "again")
-# Between two sendings of one of them, seconds.
+# The time between two attempts of one crash request.
 SHORTEST_GAP_SECONDS = 0.1
 LONGEST_GAP_SECONDS = 1.0
-# From the end of a runner until its place starts again, seconds.
+# The time between the crash of a runner and its restart.
 SHORTEST_BACK_SECONDS = 0.5
 LONGEST_BACK_SECONDS = 1.5
 LOOK_SECONDS = 0.05
-# What the platform allows: so many sendings later than so long after the third end, seconds, by
-# processes that met no fault for as long.
+# What the platform allows: this many attempts later than this time after the third crash, by
+# processes without an interruption for the same time.
 ALLOWED_LATER = 3
 CONTACT_SECONDS = 3.0
 
 
 class DeadlyFaults:
-    """Sends such requests, lets the places of ended runners start again, and judges.
+    """Sends crash requests, restarts the runners that crashed, and checks the result.
 
     Args:
-      site: whose runners end.
-      callers: whose entries and keys are used.
-      random: draws when and where.
-      say: told of each end.
-      holds: when processes stood still or links were cut, which excuses what they didn't know.
+      site: the site whose runners crash.
+      callers: the callers whose entries and keys are used.
+      random: chooses the times and the entries.
+      log_fault: called with a description of each crash.
+      interruptions: when processes were paused or links were cut, which excuses missing knowledge.
     """
 
     def __init__(
@@ -62,17 +62,17 @@
 
     @property
     def calls(self) -> list[Call]:
-        """All such requests, each attempt of its own."""
+        """All crash requests, one call for each attempt."""
         return list(self._calls.values())
 
     async def run(self, until: float) -> None:
-        """Send them until a moment of trio's clock."""
+        """Send crash requests until a time on trio's clock."""
         async with trio.open_nursery() as nursery:
             for number in range(REQUESTS):
                 nursery.start_soon(self._send_on, number, until)
 
     async def restart_ended(self) -> None:
-        """Start places again whose runners ended by such a request, until cancelled."""
+        """Restart the runners that crashed by such a request, until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 for runner in self._site.runners:
@@ -80,7 +80,7 @@
                     ended = runner.process is not None and runner.process.poll() == DEADLY_EXIT
                     if ended and name not in self._starting:
                         self._starting.add(name)
-                        self._say(f"runner {name} ended by a request")
+                        self._say(f"runner {name} crashed by a request")
                         nursery.start_soon(self._restart, runner)
                 await trio.sleep(LOOK_SECONDS)
 
@@ -88,7 +88,7 @@
         ended = runner.process
         self._holds.note_moment(runner.spec.instance)
         await trio.sleep(self._random.uniform(SHORTEST_BACK_SECONDS, LONGEST_BACK_SECONDS))
-        # Another fault may have started it meanwhile.
+        # Another fault may have restarted it in the meantime.
         if runner.process is ended:
             self._site.start_runner(runner)
         self._starting.discard(runner.spec.instance)
@@ -117,7 +117,7 @@
             connection.close()
 
     def broken(self) -> list[str]:
-        """Return which of them were sent on though three runners had ended under them."""
+        """Return the requests that were still sent to runners after three crashes."""
         offset = trio.current_time() - time.monotonic()
         runs: dict[str, list[tuple[float, str]]] = defaultdict(list)
         for each in self._site.records:
@@ -129,11 +129,11 @@
             self._site.judged["runners ended by requests"] += len(ends)
             late = [each for each in ends[3:] if self._is_late(each, ends[2][0])]
             if len(late) > ALLOWED_LATER:
-                broken.append(f"{body} had ended 3 runners and was sent on {len(late)} times")
+                broken.append(f"{body} had crashed 3 runners and was still sent {len(late)} times")
         return broken
 
     def _is_late(self, run: tuple[float, str], third_at: float) -> bool:
-        """Return whether a run was sent on by a process that had to know of three ends."""
+        """Return whether a request was sent by a process that had to know of three crashes."""
         at, request = run
         address = self._calls[request].entry
         names = [each.name for each in self._site.entries if each.front.address == address]
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults from outside, drawn from a seed: signals, proxies, the store and configuration changes."""
+"""Random faults from outside: signals, proxies, the store and configuration changes."""
 
 import signal
 import subprocess
@@ -15,45 +15,45 @@
 
 __all__ = ["KINDS", "Faults"]
 
-# What is drawn from; what is named twice is drawn twice as often.
+# Faults are drawn from these with equal weight; a kind that is listed twice is drawn twice as
+# often.
 KINDS = (
     "runner", "runner", "runner", "entry", "entry", "runner_link", "runner_link", "store_link",
     "front_link", "store_refuses", "change", "still", "still", "aimed", "aimed", "odd", "odd",
     "series",
 )  # fmt: skip
 
-# Between two faults, seconds; many last longer, so that they overlap.
+# The time between two faults. Many last longer, so that they overlap.
 SHORTEST_GAP_SECONDS = 0.2
 LONGEST_GAP_SECONDS = 1.2
-# Between the end of an entry and its next start, seconds.
+# The time between the exit of an entry and its restart.
 RESTART_SECONDS = 0.4
-# How long a runner stands still before it brings all that was due, seconds: the two questions after
-# which its streams are taken from it end within that time.
+# How long a runner holds its output back before it sends all of it at once. The two control queries
+# whose timeouts make the gateway move its streams end within that time.
 SHORTEST_STILL_SECONDS = 0.1
 LONGEST_STILL_SECONDS = 0.6
-# How long one at the most that waits for the end of these questions, seconds.
+# The longest time for which a runner holds its output back until these queries time out.
 LONGEST_AIMED_SECONDS = 1.0
-# How long a part of a runner's answers is odd, seconds.
+# How long a share of a runner's answers is faulty.
 SHORTEST_ODD_SECONDS = 0.3
 LONGEST_ODD_SECONDS = 2.0
-# What must be left of the time for faults when all entries are started anew in series, seconds, and
-# the time between two of them.
+# A restart of all entries begins only if this much of the time for faults is left.
 SERIES_SECONDS = 6.0
 SERIES_PAUSE_SECONDS = 1.0
-# Of the runners of layers, so many are hit at once at the most: each domain of four can heal one.
+# Each domain of four runners can heal one that is lost.
 MOST_RUNNERS_HIT = 2
 
 
 class Faults:
-    """Hits a site by chance; several faults overlap.
+    """Injects random faults into a site; several faults may overlap.
 
     Args:
-      site: what is hit.
-      callers: whose keys are taken away.
-      random: draws what, whom and for how long.
-      say: told of each fault.
-      holds: where it is noted what stands still or is cut.
-      only: the kinds that are drawn from, all where none is named.
+      site: the site to inject faults into.
+      callers: the callers whose keys are revoked.
+      random: chooses the faults, their targets and their durations.
+      log_fault: called with a description of each fault.
+      interruptions: where pauses and cut links are recorded.
+      only: the kinds of faults to choose from; all if it is empty.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         self._kinds = [self._kind(name) for name in only or KINDS]
 
     async def run(self, until: float) -> None:
-        """Hit until a moment of trio's clock; return once everything is whole again."""
+        """Inject faults until a time on trio's clock; return once all of them have ended."""
         self._until = until
         async with trio.open_nursery() as nursery:
             while trio.current_time() < until:
@@ -90,7 +90,7 @@
         return getattr(self, f"_{name}")
 
     def _free(self, names: list[str], most: int) -> str | None:
-        """Choose somebody who isn't hit, None where enough are already."""
+        """Choose a name without a fault, or None if `max_affected` of them have one already."""
         if len(self._hit & set(names)) >= most:
             return None
         return self._random.choice([each for each in names if each not in self._hit])
@@ -108,7 +108,7 @@
         if self._random.random() < 0.5:
             self._say(f"runner {runner.spec.instance} killed for {seconds:.1f} s")
             if runner.spec.instance in self._endless:
-                # The end of its connections would make the answers without a length whole.
+                # A close of its connections would complete the answers that have no length.
                 runner.proxy.reset()
             self._holds.note_moment(runner.spec.instance)
             killed = runner.process
@@ -129,14 +129,14 @@
     async def _still(self) -> None:
         runner = self._random.choice(self._site.runners)
         seconds = self._random.uniform(SHORTEST_STILL_SECONDS, LONGEST_STILL_SECONDS)
-        self._say(f"runner {runner.spec.instance} stands still for {seconds:.3f} s")
+        self._say(f"runner {runner.spec.instance} holds its output for {seconds:.3f} s")
         self._holds.note(runner.spec.instance, seconds)
         self._site.tell_runner(runner, still=seconds)
         await trio.sleep(seconds)
 
     async def _aimed(self) -> None:
         runner = self._random.choice([each for each in self._site.runners if each.spec.layers])
-        self._say(f"runner {runner.spec.instance} stands still until its streams are taken from it")
+        self._say(f"runner {runner.spec.instance} holds its output until its streams are moved")
         self._holds.note(runner.spec.instance, LONGEST_AIMED_SECONDS)
         self._site.tell_runner(runner, aimed=LONGEST_AIMED_SECONDS)
         await trio.sleep(LONGEST_AIMED_SECONDS)
@@ -145,13 +145,13 @@
         runner = self._random.choice(self._site.runners)
         kind = self._random.choice(list(Odd))
         seconds = self._random.uniform(SHORTEST_ODD_SECONDS, LONGEST_ODD_SECONDS)
-        self._say(f"runner {runner.spec.instance} answers oddly for {seconds:.1f} s: {kind}")
+        self._say(f"runner {runner.spec.instance} sends faulty answers for {seconds:.1f} s: {kind}")
         self._site.tell_runner(runner, odd=kind, seconds=seconds)
         if kind in (Odd.ENDLESS, Odd.ENDLESS_RESET):
             self._endless.add(runner.spec.instance)
 
     async def _series(self) -> None:
-        """Start every entry anew, one after the other."""
+        """Restart all entries, one after the other."""
         names = {each.name for each in self._site.entries}
         if self._hit & names or trio.current_time() + SERIES_SECONDS > self._until:
             return
@@ -216,13 +216,13 @@
 
     async def _store_refuses(self) -> None:
         seconds = self._random.uniform(0.3, 2.0)
-        self._say(f"store refuses for {seconds:.1f} s")
+        self._say(f"store unavailable for {seconds:.1f} s")
         self._site.store.refuses = True
         await trio.sleep(seconds)
         self._site.store.refuses = False
 
     async def _change(self) -> None:
-        """Write a new desired state; at times it takes a key away and brings a new one."""
+        """Write a new desired state; half of them revoke a key and issue a new one."""
         self._version += self._random.randint(1, 3)
         keys = [each for each in self._callers.keys if each not in self.revoked]
         if self._random.random() < 0.5:
@@ -231,6 +231,6 @@
             keys = [each for each in keys if each != taken] + [fresh]
             self.revoked[taken] = trio.current_time()
             self._callers.keys.append(fresh)
-            self._say(f"key {taken} taken away, {fresh} given out")
+            self._say(f"key {taken} revoked, {fresh} issued")
         self._say(f"desired state {self._version}")
         self._site.store.put_json("op", "config", desired_state(self._version, keys))
--- a/soak/notice_faults.py
+++ b/soak/notice_faults.py
@@ -1,4 +1,4 @@
-"""Runners that ask for time without requests, leave by word of their answers, or do both."""
+"""Runners that ask for a backoff, announce their shutdown in their answers, or do both."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -10,59 +10,60 @@
 
 __all__ = ["Holds", "NoticeFaults"]
 
-# Between two of these faults, seconds; most last longer, so that they overlap.
+# The time between two of these faults. Most last longer, so that they overlap.
 SHORTEST_GAP_SECONDS = 0.3
 LONGEST_GAP_SECONDS = 1.5
-# What a refusal asks for, and for how long requests are refused, seconds: some longer than others.
+# The backoff that a refusal asks for, and how long requests are refused; either may be the longer
+# one.
 SHORTEST_BACKOFF_SECONDS = 0.6
 LONGEST_BACKOFF_SECONDS = 3.0
 LONGEST_REFUSING_SECONDS = 2.0
-# How long one that leaves serves on, and when its row says so too, if ever, seconds.
+# How long a leaving runner continues to serve; the share whose row announces it as well, halfway.
 SHORTEST_LEAVING_SECONDS = 1.0
 LONGEST_LEAVING_SECONDS = 2.5
 DRAINING_SHARE = 0.6
-# Of the runners of layers, so many leave at once at the most: each domain of four can heal one.
+# Each domain of four runners can heal one that is lost.
 MOST_LEAVING = 1
-# The share of those that leave which ask for time as well.
+# The share of leaving runners that also ask for a backoff.
 BOTH_SHARE = 0.3
 
 
 @dataclass
 class Holds:
-    """When processes stood still or links were cut: what was on its way then proves nothing.
+    """Records when processes were paused or links were cut, which excuses late arrivals.
 
-    `spans` are (name, from, until), `moments` (name, at), on trio's clock.
+    `spans` are (name, begin, end), `moments` are the resets as (name, time), on trio's clock.
     """
 
     spans: list[tuple[str, float, float]] = field(default_factory=list)
     moments: list[tuple[str, float]] = field(default_factory=list)
 
     def note(self, name: str, seconds: float) -> None:
-        """Note that something of a name stands still from now on for so long."""
+        """Record that a process is paused or a link is cut from now on."""
         now = trio.current_time()
         self.spans.append((name, now, now + seconds))
 
     def note_moment(self, name: str) -> None:
-        """Note that connections of a name are reset now."""
+        """Record that connections are reset now."""
         self.moments.append((name, trio.current_time()))
 
     def touch(self, name: str, begin: float, end: float) -> bool:
-        """Return whether anything of a name stood still at some time between two moments."""
+        """Return whether an interruption of `name` overlaps the time from `begin` to `end`."""
         return any(who == name and a < end and b > begin for who, a, b in self.spans)
 
     def moment_in(self, name: str, begin: float, end: float) -> bool:
-        """Return whether connections of a name were reset between two moments."""
+        """Return whether connections of `name` were reset between `begin` and `end`."""
         return any(who == name and begin <= at <= end for who, at in self.moments)
 
 
 class NoticeFaults:
-    """Lets runners of a site ask for things, drawn apart from other faults, which go on beside.
+    """Makes runners send notices, chosen independently of the other faults.
 
     Args:
-      site: whose runners.
-      random: draws what, whom and for how long.
-      say: told of each.
-      holds: where restarts are noted.
+      site: the site whose runners send notices.
+      random: chooses the notices, the runners and the durations.
+      log_fault: called with a description of each notice.
+      interruptions: where restarts are recorded.
     """
 
     def __init__(
@@ -75,7 +76,7 @@
         self._leaving: set[str] = set()
 
     async def run(self, until: float) -> None:
-        """Go on until a moment of trio's clock; return once everybody is back."""
+        """Inject notices until a time on trio's clock; return once all runners are restarted."""
         async with trio.open_nursery() as nursery:
             while trio.current_time() < until:
                 nursery.start_soon(self._random.choice((self._ask, self._ask, self._leave)))
@@ -89,7 +90,7 @@
         backoff = self._random.uniform(SHORTEST_BACKOFF_SECONDS, LONGEST_BACKOFF_SECONDS)
         seconds = self._random.uniform(0.1, LONGEST_REFUSING_SECONDS)
         self._say(
-            f"runner {runner.spec.instance} refuses for {seconds:.1f} s, asks for {backoff:.1f} s"
+            f"runner {runner.spec.instance} refuses for {seconds:.1f} s, backoff of {backoff:.1f} s"
         )
         self._site.tell_runner(runner, backoff=round(backoff, 2), seconds=seconds)
 
@@ -113,8 +114,8 @@
         if drains:
             self._site.tell_runner(runner, draining=True)
         await trio.sleep(seconds / 2)
-        # Another fault may have ended it meanwhile, and then starts it again: a second process for
-        # one place ended at once, since its port was taken.
+        # Another fault may have killed it in the meantime and will restart it. A second process for
+        # the same runner would exit at once, since its port is in use.
         if runner.process is process and process.poll() is None:
             self._holds.note_moment(name)
             process.kill()
--- a/soak/notice_judge.py
+++ b/soak/notice_judge.py
@@ -1,4 +1,4 @@
-"""Whether entries kept to what runners asked for, by the runners' own records of arrivals."""
+"""Checks by the runners' records of arrivals whether entries complied with their notices."""
 
 import time
 from collections import defaultdict
@@ -12,30 +12,30 @@
 
 __all__ = ["NoticeJudge"]
 
-# What was on its way when the answer came may arrive within this time, seconds, and so many
-# requests after it: that is what is promised of each process.
+# Requests in flight when the answer came may arrive within this time, and this many after it: that
+# is what each process guarantees.
 ON_ITS_WAY_SECONDS = 0.5
 MOST_IN_BACKOFF = 2
-# A caller's request that it sent so long after it had a whole answer by which a runner leaves, to
-# the same process, seconds.
+# A call sent to the same process this long after a complete answer with a leaving notice must not
+# reach the runner.
 LEAVING_SECONDS = 0.5
-# An answer that met the end of its connection around this time may not have come, seconds.
+# An answer whose connection was reset around this time may not have been received.
 LOST_BEFORE_SECONDS = 0.1
 LOST_AFTER_SECONDS = 0.3
 LEAVING = b"server-leaving"
 
 
 class NoticeJudge:
-    """Judges one run, once it is over; `Site.judged` counts what there was to judge.
+    """Checks a seed once it has finished; `Site.judged` counts the cases that were checked.
 
     Args:
-      site: whose runners recorded what came.
+      site: the site whose runners recorded arrivals.
       calls: all requests of callers.
-      holds: when processes stood still or links were cut, which excuses what was on its way.
+      interruptions: when processes were paused or links were cut, which excuses late arrivals.
     """
 
     def __init__(self, site: Site, calls: list[Call], holds: Holds) -> None:
-        # Records have the clock that all processes share, calls that of trio.
+        # Records use the monotonic clock that all processes share, calls use trio's clock.
         offset = trio.current_time() - time.monotonic()
         self._site = site
         self._calls = {each.name: each for each in calls}
@@ -44,7 +44,7 @@
         self._records = [
             each | {"at": each["clock"] + offset} for each in site.records if "clock" in each
         ]
-        # The requests that reached each runner: when, at which start, and whose.
+        # The requests that reached each runner: the time, the incarnation and the call.
         self._arrivals: dict[str, list[tuple[float, str, Call]]] = defaultdict(list)
         for each in self._records:
             call = self._calls.get(each.get("arrived", ""))
@@ -53,7 +53,7 @@
                 self._arrivals[each["instance"]].append((each["at"], start, call))
 
     def broken(self) -> list[str]:
-        """Return what reached runners that had asked for none of it."""
+        """Return the requests that reached runners after they had asked for none."""
         asked = [each for each in self._records if each.get("asked") in self._calls]
         in_backoff = [wrong for each in asked if (wrong := self._in_backoff(each))]
         return in_backoff + [
@@ -61,7 +61,7 @@
         ]
 
     def _in_backoff(self, asked: dict) -> str:
-        """Return what reached a runner in a time that it had asked for, empty for all is well."""
+        """Return a message if too many requests arrived in a backoff, or an empty text."""
         call, instance = self._calls[asked["asked"]], asked["instance"]
         begin, end = asked["at"], asked["at"] + asked["seconds"]
         place, entry = instance.partition(".")[0], self._entries[call.entry]
@@ -78,19 +78,20 @@
         self._site.judged["arrivals in backoffs"] += len(late)
         if len(late) <= MOST_IN_BACKOFF:
             return ""
-        asks = f"{instance} asked {entry} for {asked['seconds']} s"
-        return f"{asks} (answer to {call.name}) and got {late}"
+        asks = f"{instance} asked {entry} for a backoff of {asked['seconds']} s"
+        return f"{asks} (answer to {call.name}) and received {late}"
 
     def _after_leaving(self, call: Call) -> list[str]:
-        """Return what reached a runner after a call's answer by which it leaves."""
+        """Return the requests that reached a runner after its leaving notice in a call's answer."""
         if not call.served or not call.answer.header(LEAVING):
             return []
-        # Whose word it is: the first run may have been lost before anything of it was passed on.
+        # The answer names its sender, since a first attempt may have failed before its answer was
+        # forwarded.
         told_by = call.answer.header(FROM).decode()
         told_at, entry = call.sent_at + call.seconds, self._entries[call.entry]
         self._site.judged["leavings"] += 1
         return [
-            f"{told_by} left by its answer to {call.name}, and got {other.name} from {entry}"
+            f"{told_by} is leaving (answer to {call.name}), received {other.name} from {entry}"
             for at, start, other in self._arrivals[told_by.partition("@")[0]]
             if start == told_by
             and other.entry == call.entry
--- a/soak/rate_faults.py
+++ b/soak/rate_faults.py
@@ -1,4 +1,4 @@
-"""Runners that name a rate limit for all entries together, for some seconds each."""
+"""Runners that announce a rate limit for all entries together, for some seconds each."""
 
 from collections.abc import Callable
 from random import Random
@@ -9,25 +9,25 @@
 
 __all__ = ["RateFaults"]
 
-# Between two of these faults, seconds; limits last longer, so that they overlap.
+# The time between two of these faults. Limits last longer, so that they overlap.
 SHORTEST_GAP_SECONDS = 0.5
 LONGEST_GAP_SECONDS = 2.5
-# For how long a limit is named, seconds.
+# How long a limit is announced.
 SHORTEST_LIMIT_SECONDS = 4.0
 LONGEST_LIMIT_SECONDS = 9.0
-# What is named, requests a second; nothing at all among them.
+# The limits that are drawn from, in requests a second; 0 allows no request.
 RATES = (0.0, 0.7, 2.3, 2.3, 5.0, 12.0)
-# A limit changes while it is named in so many cases.
+# The share of limits that are replaced by another one halfway.
 CHANGED_SHARE = 0.3
 
 
 class RateFaults:
-    """Lets runners of a site name limits, drawn apart from other faults, which go on beside.
+    """Makes runners announce rate limits, chosen independently of the other faults.
 
     Args:
-      site: whose runners.
-      random: draws what, whom and for how long.
-      say: told of each.
+      site: the site whose runners announce limits.
+      random: chooses the limits, the runners and the durations.
+      log_fault: called with a description of each limit.
     """
 
     def __init__(self, site: Site, random: Random, say: Callable[[str], None]) -> None:
@@ -37,7 +37,7 @@
         self._limited: set[str] = set()
 
     async def run(self, until: float) -> None:
-        """Go on until a moment of trio's clock; return once nobody names a limit."""
+        """Inject limits until a time on trio's clock; return once none is announced."""
         async with trio.open_nursery() as nursery:
             while trio.current_time() < until:
                 nursery.start_soon(self._limit)
@@ -52,7 +52,7 @@
         if name in self._limited:
             return
         self._limited.add(name)
-        self._say(f"runner {name} takes {rate:g} a second, then {later:g}, for {seconds:.1f} s")
+        self._say(f"runner {name} limits to {rate:g} a second, then {later:g}, for {seconds:.1f} s")
         for each in (rate, later):
             self._site.tell_runner(runner, limit=f"{each:g}")
             await trio.sleep(seconds / 2)
--- a/soak/rate_judge.py
+++ b/soak/rate_judge.py
@@ -1,7 +1,8 @@
-"""Whether all entries together kept to the rate limits that runners named, by runners' records.
+"""Checks by the runners' records whether all entries together kept to announced rate limits.
 
-An entry is told by an answer that it passes on to a caller: a runner does not know which of its
-answers came, and of a pulse of some milliseconds most come too late on a busy machine.
+An entry counts as informed once it has forwarded an answer with the limit to a caller: a runner
+doesn't know which of its answers arrived, and with a probe timeout of some milliseconds most
+arrive too late on a busy machine.
 """
 
 import time
@@ -19,19 +20,19 @@
 
 LIMIT = b"server-limit"
 WINDOW_SECONDS = 4.0
-# From the first answer with a limit that a caller has until the bound holds, seconds.
+# The time from the first answer with a limit that a caller receives until the limit must be kept.
 CONTACT_SECONDS = 3.0
-# What may come in a window beyond the rate.
+# The number of requests that may arrive in a window beyond the rate.
 SLACK = 3
-# After a hold, what was held up comes within this time, seconds.
+# The time within which delayed requests arrive after an interruption.
 HELD_UP_SECONDS = 0.5
-# An entry that started a moment ago may not have heard of a limit, seconds.
+# An entry may not know a limit for this time after its start.
 STARTING_SECONDS = 3.0
 
 
 @dataclass
 class _Limited:
-    """One start of a runner: when answers named which limit, and what reached it."""
+    """The limits that one incarnation of a runner announced, and the requests that reached it."""
 
     place: str
     named: list[tuple[float, float | None]] = field(default_factory=list)
@@ -40,12 +41,12 @@
 
 
 class RateJudge:
-    """Judges one run, once it is over; `Site.judged` counts what there was to judge.
+    """Checks a seed once it has finished; `Site.judged` counts the cases that were checked.
 
     Args:
-      site: whose runners recorded what came and what they named.
+      site: the site whose runners recorded arrivals and announced limits.
       calls: all requests of callers.
-      holds: when runners stood still or their links were cut.
+      interruptions: when runners were paused or their links were cut.
     """
 
     def __init__(self, site: Site, calls: list[Call], holds: Holds) -> None:
@@ -72,14 +73,14 @@
                 self._starts[told_by].told.append(call.sent_at + call.seconds)
 
     def _counts(self, call: Call | None) -> bool:
-        """Return whether a caller's request came from an entry that had time to hear of limits."""
+        """Return whether a request came from an entry that has run long enough to know limits."""
         if call is None:
             return False
         starts = self._site.entry_starts[self._entries[call.entry]]
         return not any(0 <= call.sent_at - at < STARTING_SECONDS for at in starts)
 
     def broken(self) -> list[str]:
-        """Return which starts got more than they had named."""
+        """Return the incarnations that received more requests than they had announced."""
         return [
             wrong for name, each in self._starts.items() if each.named
             for wrong in self._over(name, each)
@@ -95,7 +96,7 @@
             self._site.judged["limits"] += 1
             self._site.judged["sendings within limits"] += len(times)
             broken += [
-                f"{name} takes {rate:g} a second and got {count} in 4 s at {at:.2f}"
+                f"{name} has a limit of {rate:g} a second and received {count} in 4 s at {at:.2f}"
                 for at in times
                 if (count := sum(at <= each < at + WINDOW_SECONDS for each in times))
                 > WINDOW_SECONDS * rate + SLACK
@@ -109,7 +110,7 @@
 
 
 def _spans(named: list[tuple[float, float | None]]) -> list[tuple[float, float, float]]:
-    """Return from when until when answers named which limit."""
+    """Return the announced limits as (begin, end, rate)."""
     spans: list[tuple[float, float, float]] = []
     for at, rate in sorted(named, key=lambda each: each[0]):
         if spans and spans[-1][2] == rate and spans[-1][1] == float("inf"):
