--- a/features/steps/soak_runner_steps.py
+++ b/features/steps/soak_runner_steps.py
@@ -31,7 +31,7 @@
     port = free_port()
     spec = RunnerSpec("l0.0", "llm", "a", port, f"{HOST}:{port}", f"{HOST}:{free_port()}", layers)
     spec = replace(spec, born=1, load_seconds=seconds)
-    command = [sys.executable, "-m", "soak.runner", spec.text()]
+    command = [sys.executable, "-m", "soak.runner", spec.to_json()]
     context.runner = subprocess.Popen(
         command, cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.DEVNULL, stderr=subprocess.PIPE
     )
--- a/soak/caller_connection.py
+++ b/soak/caller_connection.py
@@ -106,7 +106,7 @@
         self._stream.socket.close()
 
 
-async def connect(entry: str, narrow: bool) -> CallerConnection | None:
+async def connect(entry: str, small_buffers: bool) -> CallerConnection | None:
     """Return a new connection, or None if it can't be opened.
 
     Args:
@@ -115,7 +115,7 @@
     """
     host, _, port = entry.rpartition(":")
     sock = trio.socket.socket()
-    if narrow:
+    if small_buffers:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, NARROW_BYTES)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, NARROW_SEGMENT_BYTES)
     try:
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -7,7 +7,7 @@
 
 from soak.caller_connection import CallerConnection, Manner, connect
 from soak.calls import Call
-from soak.events import EVENTS, PAD_HEADER, WIDE_BYTES, events
+from soak.events import EVENTS_PER_STREAM, PAD_HEADER, SLOW_READER_PAD_BYTES, events
 
 __all__ = ["DEADLINE_SECONDS", "LATE_SECONDS", "PROMISES", "Callers", "request_bytes"]
 
@@ -88,11 +88,11 @@
             kind,
             self.random.choice(self.keys),
             trio.current_time(),
-            pad=WIDE_BYTES if slow else 0,
+            pad=SLOW_READER_PAD_BYTES if slow else 0,
         )
 
     def _manner(self, call: Call) -> Manner:
-        size = len(events(call.name, call.pad)) if call.kind in STREAMS else EVENTS
+        size = len(events(call.name, call.pad)) if call.kind in STREAMS else EVENTS_PER_STREAM
         if self.random.random() < LEAVING_SHARE:
             return Manner.leaving(self.random, LONGEST_STAY_SECONDS, size)
         if call.pad:
@@ -100,7 +100,7 @@
         return Manner()
 
     async def _ask(
-        self, open_to: dict[str, CallerConnection], entry: str, call: Call, narrow: bool
+        self, open_to: dict[str, CallerConnection], entry: str, call: Call, small_buffers: bool
     ) -> None:
         connection = open_to.get(entry)
         if connection is not None and not await connection.usable():
@@ -109,7 +109,7 @@
             self._drop(open_to, entry)
             connection = None
         if connection is None:
-            connection = await connect(entry, narrow)
+            connection = await connect(entry, small_buffers)
             if connection is None:
                 return
             open_to[entry] = connection
--- a/soak/calls.py
+++ b/soak/calls.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from os.path import commonprefix
 
-from soak.events import EVENTS, events
+from soak.events import EVENTS_PER_STREAM, events
 from soak.reader import AnswerReader, UnreadableError
 
 __all__ = ["Call"]
@@ -99,7 +99,7 @@
             at = len(commonprefix([due, body]))
             return f"lost, doubled, mixed or broken at byte {at}: {body[at:][:SHOWN_BYTES]!r}"
         if self.whole and body != due:
-            return f"ended as whole after {body.count(EVENT_END)} of {EVENTS} events"
+            return f"ended as whole after {body.count(EVENT_END)} of {EVENTS_PER_STREAM} events"
         settled = body[: self.answer.settled]
         if stream and settled and not settled.endswith(EVENT_END):
             return f"a part of an event went on: {settled[-SHOWN_BYTES:]!r}"
--- a/soak/conversation.py
+++ b/soak/conversation.py
@@ -6,7 +6,7 @@
 
 from soak.wire import reset
 
-__all__ = ["Conversation", "Gate"]
+__all__ = ["GatedConnection", "Gate"]
 
 
 class Gate:
@@ -26,14 +26,14 @@
         self._opened.set()
         self._opened = trio.Event()
 
-    async def passed(self) -> None:
+    async def wait_until_open(self) -> None:
         """Return once the gate is open."""
         while trio.current_time() < self._closed_until:
             with trio.move_on_at(self._closed_until):
                 await self._opened.wait()
 
 
-class Conversation(trio.abc.HalfCloseableStream):
+class GatedConnection(trio.abc.HalfCloseableStream):
     """Sends a connection's output through a gate and records the last answer.
 
     Args:
@@ -44,47 +44,47 @@
     def __init__(self, inner: trio.SocketStream, gate: Gate) -> None:
         self._inner = inner
         self._gate = gate
-        self._written = b""
-        self._answering = False
-        self._kept = b""
-        self._sending = trio.Lock()
+        self._answer_bytes = b""
+        self._is_answering = False
+        self._held_bytes = b""
+        self._send_lock = trio.Lock()
 
-    def begin(self) -> None:
+    def begin_answer(self) -> None:
         """Start to record an answer."""
-        self._written = b""
-        self._answering = True
+        self._answer_bytes = b""
+        self._is_answering = True
 
-    def end(self) -> bytes:
+    def end_answer(self) -> bytes:
         """Stop to record and return the bytes of the answer."""
-        self._answering = False
-        return self._written
+        self._is_answering = False
+        return self._answer_bytes
 
-    def keep(self, data: bytes) -> None:
+    def hold_until_next_request(self, data: bytes) -> None:
         """Store unsolicited bytes until the next request arrives."""
-        self._kept = data
+        self._held_bytes = data
 
-    async def send_kept(self) -> None:
+    async def send_held_bytes(self) -> None:
         """Send the stored bytes in place of the answer that is expected now."""
-        kept, self._kept = self._kept, b""
-        if kept:
-            await self.send_unasked(kept)
+        held_bytes, self._held_bytes = self._held_bytes, b""
+        if held_bytes:
+            await self.send_unsolicited(held_bytes)
 
     def reset(self) -> None:
         """Close the connection with a TCP reset."""
         reset(self._inner)
 
-    async def send_unasked(self, data: bytes) -> None:
+    async def send_unsolicited(self, data: bytes) -> None:
         """Send bytes that belong to no request, unless an answer is partly sent."""
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
-            async with self._sending:
-                if not (self._answering and self._written):
+            async with self._send_lock:
+                if not (self._is_answering and self._answer_bytes):
                     await self._inner.send_all(data)
 
     async def send_all(self, data: bytes) -> None:
         """Send bytes of an answer once the gate is open."""
-        await self._gate.passed()
-        async with self._sending:
-            self._written += data
+        await self._gate.wait_until_open()
+        async with self._send_lock:
+            self._answer_bytes += data
             await self._inner.send_all(data)
 
     async def wait_send_all_might_not_block(self) -> None:
--- a/soak/deadly.py
+++ b/soak/deadly.py
@@ -6,17 +6,17 @@
 
 import trio
 
-__all__ = ["DEADLY", "DEADLY_EXIT", "end_by"]
+__all__ = ["CRASH_BODY_PREFIX", "CRASH_EXIT_CODE", "crash"]
 
 # The first bytes of the body of a crash request.
-DEADLY = b"deadly"
-DEADLY_EXIT = 7
+CRASH_BODY_PREFIX = b"deadly"
+CRASH_EXIT_CODE = 7
 # The time from the start of the execution to the exit: two event intervals of other streams.
-FUSE_SECONDS = 0.04
+CRASH_DELAY_SECONDS = 0.04
 
 
-async def end_by(body: bytes, request: str, tell: Callable[..., None]) -> None:
+async def crash(body: bytes, request_id: str, write_record: Callable[..., None]) -> None:
     """Record that a crash request is executed, and exit after a delay."""
-    tell(deadly=body.decode(), request=request, clock=time.monotonic())
-    await trio.sleep(FUSE_SECONDS)
-    os._exit(DEADLY_EXIT)
+    write_record(deadly=body.decode(), request=request_id, clock=time.monotonic())
+    await trio.sleep(CRASH_DELAY_SECONDS)
+    os._exit(CRASH_EXIT_CODE)
--- a/soak/deadly_faults.py
+++ b/soak/deadly_faults.py
@@ -10,7 +10,7 @@
 from soak.caller_connection import Manner, connect
 from soak.callers import DEADLINE_SECONDS, LATE_SECONDS, Callers, request_bytes
 from soak.calls import Call
-from soak.deadly import DEADLY, DEADLY_EXIT
+from soak.deadly import CRASH_BODY_PREFIX, CRASH_EXIT_CODE
 from soak.notice_faults import Holds
 from soak.site import RunnerProcess, Site
 
@@ -77,7 +77,7 @@
             while True:
                 for runner in self._site.runners:
                     name = runner.spec.instance
-                    ended = runner.process is not None and runner.process.poll() == DEADLY_EXIT
+                    ended = runner.process is not None and runner.process.poll() == CRASH_EXIT_CODE
                     if ended and name not in self._starting:
                         self._starting.add(name)
                         self._say(f"runner {name} crashed by a request")
@@ -94,7 +94,7 @@
         self._starting.discard(runner.spec.instance)
 
     async def _send_on(self, number: int, until: float) -> None:
-        kind, body = self._random.choice(KINDS), DEADLY + str(number).encode()
+        kind, body = self._random.choice(KINDS), CRASH_BODY_PREFIX + str(number).encode()
         asked = 0
         while trio.current_time() < until:
             asked += 1
@@ -108,7 +108,7 @@
 
     async def _send(self, call: Call, body: bytes) -> None:
         entry = self._random.choice(sorted(self._callers.ready) or self._callers.entries)
-        connection = await connect(entry, narrow=False)
+        connection = await connect(entry, small_buffers=False)
         if connection is None:
             return
         try:
--- a/soak/events.py
+++ b/soak/events.py
@@ -1,21 +1,23 @@
 """The events of a stand-in's stream, generated alike by the sender and by the check."""
 
-__all__ = ["EVENTS", "PAD_HEADER", "WIDE_BYTES", "event", "events"]
+__all__ = ["EVENTS_PER_STREAM", "PAD_HEADER", "SLOW_READER_PAD_BYTES", "event", "events"]
 
-EVENTS = 30
+EVENTS_PER_STREAM = 30
 # The request header with the number of bytes by which each event is to be longer.
 PAD_HEADER = b"x-soak-pad"
 # The padding for callers that read slowly. A stream is then several times as large as the socket
 # buffers on its path, so that writes to them block.
-WIDE_BYTES = 12 * 1024
+SLOW_READER_PAD_BYTES = 12 * 1024
 
 
-def event(name: str, number: int, pad: int = 0) -> bytes:
+def event(request_id: str, number: int, pad_bytes: int = 0) -> bytes:
     """Return one event of the stream of a request, padded with the request id."""
-    filler = (f" {name}" * (pad // (len(name) + 1))) if pad else ""
-    return f"id: {number}\ndata: {name} {number}{filler}\n\n".encode()
+    filler = (f" {request_id}" * (pad_bytes // (len(request_id) + 1))) if pad_bytes else ""
+    return f"id: {number}\ndata: {request_id} {number}{filler}\n\n".encode()
 
 
-def events(name: str, pad: int = 0) -> bytes:
+def events(request_id: str, pad_bytes: int = 0) -> bytes:
     """Return the whole stream of a request."""
-    return b"".join(event(name, number, pad) for number in range(1, EVENTS + 1))
+    return b"".join(
+        event(request_id, number, pad_bytes) for number in range(1, EVENTS_PER_STREAM + 1)
+    )
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -9,7 +9,7 @@
 
 from soak.callers import Callers
 from soak.notice_faults import Holds
-from soak.odd_answers import Odd
+from soak.odd_answers import AnswerFault
 from soak.proxy import Mode, Proxy
 from soak.site import Entry, RunnerProcess, Site, desired_state
 
@@ -143,11 +143,11 @@
 
     async def _odd(self) -> None:
         runner = self._random.choice(self._site.runners)
-        kind = self._random.choice(list(Odd))
+        kind = self._random.choice(list(AnswerFault))
         seconds = self._random.uniform(SHORTEST_ODD_SECONDS, LONGEST_ODD_SECONDS)
         self._say(f"runner {runner.spec.instance} sends faulty answers for {seconds:.1f} s: {kind}")
         self._site.tell_runner(runner, odd=kind, seconds=seconds)
-        if kind in (Odd.ENDLESS, Odd.ENDLESS_RESET):
+        if kind in (AnswerFault.ENDLESS, AnswerFault.ENDLESS_RESET):
             self._endless.add(runner.spec.instance)
 
     async def _series(self) -> None:
@@ -198,9 +198,9 @@
             proxy.reset()
             return
         self._holds.note(name, seconds)
-        proxy.set(mode, self._random.uniform(0.02, 0.2))
+        proxy.set_mode(mode, self._random.uniform(0.02, 0.2))
         await trio.sleep(seconds)
-        proxy.set(Mode.PASS)
+        proxy.set_mode(Mode.PASS)
 
     async def _runner_link(self) -> None:
         runner = self._random.choice(self._site.runners)
--- a/soak/notice_judge.py
+++ b/soak/notice_judge.py
@@ -7,7 +7,7 @@
 
 from soak.calls import Call
 from soak.notice_faults import Holds
-from soak.notices import FROM, start_name
+from soak.notices import INCARNATION_HEADER, incarnation_name
 from soak.site import Site
 
 __all__ = ["NoticeJudge"]
@@ -49,7 +49,7 @@
         for each in self._records:
             call = self._calls.get(each.get("arrived", ""))
             if call is not None:
-                start = start_name(each["instance"], each["born"])
+                start = incarnation_name(each["instance"], each["born"])
                 self._arrivals[each["instance"]].append((each["at"], start, call))
 
     def broken(self) -> list[str]:
@@ -87,7 +87,7 @@
             return []
         # The answer names its sender, since a first attempt may have failed before its answer was
         # forwarded.
-        told_by = call.answer.header(FROM).decode()
+        told_by = call.answer.header(INCARNATION_HEADER).decode()
         told_at, entry = call.sent_at + call.seconds, self._entries[call.entry]
         self._site.judged["leavings"] += 1
         return [
--- a/soak/notices.py
+++ b/soak/notices.py
@@ -14,17 +14,17 @@
 
 from deckcourse.http1.message import Headers
 
-__all__ = ["FROM", "Notices", "start_name"]
+__all__ = ["INCARNATION_HEADER", "Notices", "incarnation_name"]
 
 # The header of an answer that names the incarnation of the runner that sent it.
-FROM = b"x-soak-from"
+INCARNATION_HEADER = b"x-soak-from"
 
 # For this time answers to control queries don't announce a shutdown. Otherwise entries would nearly
 # always learn of it from these and never from an answer to a client.
-QUIET_SECONDS = 0.8
+CONTROL_NOTICE_DELAY_SECONDS = 0.8
 
 
-def start_name(instance: str, born: int) -> str:
+def incarnation_name(instance: str, born: int) -> str:
     """Return the name of one incarnation of a runner, the value of INCARNATION_HEADER."""
     return f"{instance}@{born}"
 
@@ -33,14 +33,14 @@
 class Notices:
     """The current notices of a runner; `write_record` writes a line of its record."""
 
-    tell: Callable[..., None]
-    backoff: float = 0.0
+    write_record: Callable[..., None]
+    backoff_seconds: float = 0.0
     refuses_until: float = 0.0
-    leaving: bool = False
-    draining: bool = False
-    quiet_until: float = 0.0
-    limit: str = ""
-    has_named: str = ""
+    is_leaving: bool = False
+    is_draining: bool = False
+    control_silent_until: float = 0.0
+    rate_limit: str = ""
+    recorded_limit: str = ""
 
     @property
     def headers(self) -> Headers:
@@ -50,55 +50,55 @@
     @property
     def control_headers(self) -> Headers:
         """The notices in answers to control queries and orders, with a delayed shutdown notice."""
-        is_quiet = trio.current_time() < self.quiet_until
-        return self._limit_headers if is_quiet else self.headers
+        is_silent = trio.current_time() < self.control_silent_until
+        return self._limit_headers if is_silent else self.headers
 
     @property
     def _leaving_headers(self) -> Headers:
-        return ((b"server-leaving", b"1"),) if self.leaving else ()
+        return ((b"server-leaving", b"1"),) if self.is_leaving else ()
 
     @property
     def _limit_headers(self) -> Headers:
         """The announced rate limit; each change of it is recorded."""
-        if self.limit != self.has_named:
-            self.has_named = self.limit
-            named = float(self.limit) if self.limit else None
-            self.tell(named=named, clock=time.monotonic())
-        return ((b"server-limit", self.limit.encode()),) if self.limit else ()
+        if self.rate_limit != self.recorded_limit:
+            self.recorded_limit = self.rate_limit
+            named = float(self.rate_limit) if self.rate_limit else None
+            self.write_record(named=named, clock=time.monotonic())
+        return ((b"server-limit", self.rate_limit.encode()),) if self.rate_limit else ()
 
     @property
-    def state(self) -> str:
+    def row_state(self) -> str:
         """The state in the runner's row."""
-        return "draining" if self.draining else "ready"
+        return "draining" if self.is_draining else "ready"
 
-    def take(self, order: dict) -> bool:
+    def apply_order(self, order: dict) -> bool:
         """Apply an order; return False if it isn't one for notices."""
         if "backoff" in order:
-            self.backoff = order["backoff"]
+            self.backoff_seconds = order["backoff"]
             self.refuses_until = trio.current_time() + order["seconds"]
         elif "limit" in order:
-            self.limit = order["limit"]
+            self.rate_limit = order["limit"]
         elif "leaving" in order or "draining" in order:
-            if not self.leaving:
-                self.quiet_until = trio.current_time() + QUIET_SECONDS
-            self.leaving = True
-            self.draining = "draining" in order
+            if not self.is_leaving:
+                self.control_silent_until = trio.current_time() + CONTROL_NOTICE_DELAY_SECONDS
+            self.is_leaving = True
+            self.is_draining = "draining" in order
         else:
             return False
         return True
 
-    def arrived(self, request: str) -> None:
+    def record_arrival(self, request: str) -> None:
         """Record a client request with the time of the clock that all processes share."""
-        self.tell(arrived=request, clock=time.monotonic())
+        self.write_record(arrived=request, clock=time.monotonic())
 
-    def was_asked(self) -> None:
+    def record_control_message(self) -> None:
         """Record a control query or an order."""
-        self.tell(question=True, clock=time.monotonic())
+        self.write_record(question=True, clock=time.monotonic())
 
-    def refusal(self, request: str) -> Headers | None:
+    def refusal_headers(self, request: str) -> Headers | None:
         """Return the headers of a refusal and record its backoff, or None if none is active."""
         if trio.current_time() >= self.refuses_until:
             return None
-        self.tell(asked=request, seconds=self.backoff, clock=time.monotonic())
-        asks = (b"retry-after", f"{self.backoff:.2f}".encode())
-        return ((b"x-not-executed", b"1"), asks, *self.headers)
+        self.write_record(asked=request, seconds=self.backoff_seconds, clock=time.monotonic())
+        retry_after = (b"retry-after", f"{self.backoff_seconds:.2f}".encode())
+        return ((b"x-not-executed", b"1"), retry_after, *self.headers)
--- a/soak/odd_answers.py
+++ b/soak/odd_answers.py
@@ -13,15 +13,15 @@
 
 import trio
 
-from soak.conversation import Conversation, Gate
+from soak.conversation import Gate, GatedConnection
 from soak.notices import Notices
 
-__all__ = ["Odd", "OddAnswers", "raw_head"]
+__all__ = ["AnswerFault", "AnswerFaults", "raw_head"]
 
 # The share of answers that are faulty while a fault is active.
-ODD_SHARE = 0.6
+FAULTY_SHARE = 0.6
 # The longest delay of a late surplus.
-LATE_SECONDS = 0.03
+MAX_SURPLUS_DELAY_SECONDS = 0.03
 # Surplus bytes that resemble nothing, an event, a chunk and an answer.
 GARBAGE = (
     b"\x00\xff\x00garbage",
@@ -34,16 +34,16 @@
 # The gateway's timeout for a control query to an upstream; it moves the streams of an upstream
 # after two timeouts in a row. Held output is released around the second one, at an offset in this
 # range.
-QUESTION_SECONDS = 0.15
-AIM_SECONDS = (-0.002, 0.003)
+QUERY_TIMEOUT_SECONDS = 0.15
+RELEASE_OFFSET_RANGE_SECONDS = (-0.002, 0.003)
 # A query that starts this long after the timeout of another one is the second in a row.
-NEXT_SECONDS = (0.05, 0.13)
+SECOND_QUERY_DELAY_RANGE_SECONDS = (0.05, 0.13)
 # The release is announced this long in advance, so that the gateway's processes can be paused over
 # it and handle the timeout and the released output at once when they resume.
-TOLD_SECONDS = 0.025
+RELEASE_NOTICE_SECONDS = 0.025
 
 
-class Odd(StrEnum):
+class AnswerFault(StrEnum):
     """What is wrong with an answer.
 
     An endless answer has no length and ends when its connection is closed; if the connection is
@@ -58,7 +58,7 @@
     BREAK_OFF = "break-off"
 
 
-class Surplus(StrEnum):
+class SurplusTiming(StrEnum):
     """When the bytes that follow a faulty answer are sent."""
 
     AT_ONCE = "at-once"
@@ -67,7 +67,7 @@
 
 
 @dataclass
-class OddAnswers:
+class AnswerFaults:
     """The fault of a runner's answers, with the gate that all its output passes.
 
     `announce_release` is called shortly before held output is released; `notices` get their orders
@@ -76,71 +76,76 @@
 
     random: Random
     gate: Gate
-    tell_aim: Callable[[], None]
+    announce_release: Callable[[], None]
     notices: Notices
-    kind: Odd | None = None
-    until: float = 0.0
-    aimed_until: float = 0.0
-    given_up: list[float] = field(default_factory=list)
+    fault: AnswerFault | None = None
+    fault_until: float = 0.0
+    aimed_hold_until: float = 0.0
+    timed_out_at: list[float] = field(default_factory=list)
 
-    async def obey(self, orders: trio.abc.ReceiveStream) -> None:
+    async def read_orders(self, orders: trio.abc.ReceiveStream) -> None:
         """Read orders, one JSON line each, and apply them until the stream ends."""
         rest = b""
         while data := await orders.receive_some():
             *lines, rest = (rest + data).split(b"\n")
             for line in lines:
-                self._take(json.loads(line))
+                self._apply_order(json.loads(line))
 
-    def _take(self, order: dict) -> None:
-        if self.notices.take(order):
+    def _apply_order(self, order: dict) -> None:
+        if self.notices.apply_order(order):
             return
         if "still" in order:
             self.gate.close(order["still"])
         elif "aimed" in order:
             self.gate.close(order["aimed"])
-            self.aimed_until = trio.current_time() + order["aimed"]
-            self.given_up.clear()
+            self.aimed_hold_until = trio.current_time() + order["aimed"]
+            self.timed_out_at.clear()
         else:
-            self.kind = Odd(order["odd"])
-            self.until = trio.current_time() + order["seconds"]
+            self.fault = AnswerFault(order["odd"])
+            self.fault_until = trio.current_time() + order["seconds"]
 
-    def draw(self) -> Odd | None:
+    def draw_fault(self) -> AnswerFault | None:
         """Draw the fault of the next answer, or None."""
-        if trio.current_time() < self.until and self.random.random() < ODD_SHARE:
-            return self.kind
+        if trio.current_time() < self.fault_until and self.random.random() < FAULTY_SHARE:
+            return self.fault
         return None
 
-    async def before_report(self) -> None:
+    async def delay_report(self) -> None:
         """Delay the answer to a control query beyond its timeout during an aimed hold.
 
         If the previous query timed out just before, release the held output at the moment at which
         this one times out.
         """
         now = trio.current_time()
-        if now >= self.aimed_until:
+        if now >= self.aimed_hold_until:
             return
-        due = now + QUESTION_SECONDS
-        second = any(NEXT_SECONDS[0] < now - each < NEXT_SECONDS[1] for each in self.given_up)
-        await trio.sleep_until(due - TOLD_SECONDS)
-        self.given_up.append(due)
-        if second:
-            self.tell_aim()
-            await trio.sleep_until(due + self.random.uniform(*AIM_SECONDS))
+        timeout_at = now + QUERY_TIMEOUT_SECONDS
+        is_second = any(
+            SECOND_QUERY_DELAY_RANGE_SECONDS[0] < now - each < SECOND_QUERY_DELAY_RANGE_SECONDS[1]
+            for each in self.timed_out_at
+        )
+        await trio.sleep_until(timeout_at - RELEASE_NOTICE_SECONDS)
+        self.timed_out_at.append(timeout_at)
+        if is_second:
+            self.announce_release()
+            await trio.sleep_until(timeout_at + self.random.uniform(*RELEASE_OFFSET_RANGE_SECONDS))
             self.gate.open()
-        await trio.sleep_until(self.aimed_until)
+        await trio.sleep_until(self.aimed_hold_until)
 
-    async def behind(self, kind: Odd | None, conversation: Conversation, answer: bytes) -> None:
+    async def send_surplus(
+        self, fault: AnswerFault | None, connection: GatedConnection, answer: bytes
+    ) -> None:
         """Send the surplus of a faulty answer: at once, late or before the next answer."""
-        if kind not in (Odd.GARBAGE, Odd.TWICE):
+        if fault not in (AnswerFault.GARBAGE, AnswerFault.TWICE):
             return
-        surplus = answer if kind is Odd.TWICE else self.random.choice(GARBAGE)
-        when = self.random.choice(list(Surplus))
-        if when is Surplus.NEXT:
-            conversation.keep(surplus)
+        surplus = answer if fault is AnswerFault.TWICE else self.random.choice(GARBAGE)
+        timing = self.random.choice(list(SurplusTiming))
+        if timing is SurplusTiming.NEXT:
+            connection.hold_until_next_request(surplus)
             return
-        if when is Surplus.LATE:
-            await trio.sleep(self.random.uniform(0.0, LATE_SECONDS))
-        await conversation.send_unasked(surplus)
+        if timing is SurplusTiming.LATE:
+            await trio.sleep(self.random.uniform(0.0, MAX_SURPLUS_DELAY_SECONDS))
+        await connection.send_unsolicited(surplus)
 
 
 def raw_head(headers: tuple[tuple[bytes, bytes], ...]) -> bytes:
--- a/soak/path_check.py
+++ b/soak/path_check.py
@@ -18,7 +18,7 @@
 RETRY_SECONDS = 0.1
 
 # The address of a runner, the first layer of its stage and the layer after the last one.
-Part = tuple[str, int, int]
+Stage = tuple[str, int, int]
 
 
 @dataclass
@@ -29,7 +29,7 @@
     for and the time at which the wait began, or None if it isn't waiting.
     """
 
-    path: list[Part]
+    path: list[Stage]
     waits_for: tuple[str, float] | None = None
 
 
@@ -97,7 +97,7 @@
 
 
 async def _wait_for_result(
-    stream: RunningStream, path: list[Part], held_ranges: _HeldRanges, deadline: float
+    stream: RunningStream, path: list[Stage], held_ranges: _HeldRanges, deadline: float
 ) -> PathRefusal | None:
     """Return a refusal, or None once all stages are held or the path has been replaced."""
     while stream.path is path:
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -10,11 +10,11 @@
 
 __all__ = ["Mode", "Proxy"]
 
-CHUNK_BYTES = 64 * 1024
+MAX_READ_BYTES = 64 * 1024
 # The read size, the socket buffers and the largest segment of a proxy with small buffers, so that a
 # slow reader soon blocks the sender.
-NARROW_BYTES = 4096
-NARROW_SEGMENT_BYTES = 1400
+SMALL_BUFFER_BYTES = 4096
+SMALL_SEGMENT_BYTES = 1400
 
 
 class Mode(StrEnum):
@@ -35,26 +35,26 @@
 
     port: int
     target: int
-    narrow: bool = False
+    small_buffers: bool = False
     mode: Mode = Mode.PASS
-    delay: float = 0.0
-    changed: trio.Event = field(default_factory=trio.Event)
-    _pairs: set[tuple[trio.SocketStream, trio.SocketStream]] = field(default_factory=set)
+    delay_seconds: float = 0.0
+    mode_changed: trio.Event = field(default_factory=trio.Event)
+    _connections: set[tuple[trio.SocketStream, trio.SocketStream]] = field(default_factory=set)
 
     @property
     def address(self) -> str:
         """The address that the proxy listens on."""
         return f"{HOST}:{self.port}"
 
-    def set(self, mode: Mode, delay: float = 0.0) -> None:
+    def set_mode(self, mode: Mode, delay_seconds: float = 0.0) -> None:
         """Change the mode from now on."""
-        self.mode, self.delay = mode, delay
-        self.changed.set()
-        self.changed = trio.Event()
+        self.mode, self.delay_seconds = mode, delay_seconds
+        self.mode_changed.set()
+        self.mode_changed = trio.Event()
 
     def reset(self) -> None:
         """Reset all open connections."""
-        for pair in list(self._pairs):
+        for pair in list(self._connections):
             for stream in pair:
                 reset(stream)
 
@@ -64,55 +64,55 @@
         task_status.started()
         async with trio.open_nursery() as nursery:
             while True:
-                nursery.start_soon(self._connect, await listener.accept())
+                nursery.start_soon(self._forward_connection, await listener.accept())
 
-    async def _open_far(self) -> trio.SocketStream:
+    async def _connect_to_target(self) -> trio.SocketStream:
         sock = trio.socket.socket()
         try:
-            if self.narrow:
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, NARROW_BYTES)
-                sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, NARROW_SEGMENT_BYTES)
+            if self.small_buffers:
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
+                sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, SMALL_SEGMENT_BYTES)
             await sock.connect((HOST, self.target))
         except BaseException:
             sock.close()
             raise
         return trio.SocketStream(sock)
 
-    async def _connect(self, near: trio.SocketStream) -> None:
-        await self._let_through(True)
+    async def _forward_connection(self, accepted: trio.SocketStream) -> None:
+        await self._wait_while_blocked(True)
         try:
-            far = await self._open_far()
+            target_stream = await self._connect_to_target()
         except OSError:
-            reset(near)
+            reset(accepted)
             return
-        if self.narrow:
-            near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, NARROW_BYTES)
-        pair = (near, far)
-        self._pairs.add(pair)
+        if self.small_buffers:
+            accepted.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
+        pair = (accepted, target_stream)
+        self._connections.add(pair)
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._pass_on, near, far, True)
-                nursery.start_soon(self._pass_on, far, near, False)
+                nursery.start_soon(self._forward, accepted, target_stream, True)
+                nursery.start_soon(self._forward, target_stream, accepted, False)
         except* (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
             pass  # One side is closed; the other one is reset below.
         finally:
-            self._pairs.discard(pair)
+            self._connections.discard(pair)
             for stream in pair:
                 reset(stream)
 
-    async def _pass_on(
-        self, source: trio.SocketStream, sink: trio.SocketStream, inwards: bool
+    async def _forward(
+        self, source: trio.SocketStream, destination: trio.SocketStream, is_inbound: bool
     ) -> None:
-        most = NARROW_BYTES if self.narrow else CHUNK_BYTES
-        while data := await source.receive_some(most):
-            await self._let_through(inwards)
-            await sink.send_all(data)
-        await self._let_through(inwards)
-        await sink.send_eof()
-
-    async def _let_through(self, inwards: bool) -> None:
+        max_bytes = SMALL_BUFFER_BYTES if self.small_buffers else MAX_READ_BYTES
+        while data := await source.receive_some(max_bytes):
+            await self._wait_while_blocked(is_inbound)
+            await destination.send_all(data)
+        await self._wait_while_blocked(is_inbound)
+        await destination.send_eof()
+
+    async def _wait_while_blocked(self, is_inbound: bool) -> None:
         """Wait while bytes in a direction are blocked or delayed."""
-        while self.mode is Mode.SILENT or (self.mode is Mode.ONE_WAY and not inwards):
-            await self.changed.wait()
+        while self.mode is Mode.SILENT or (self.mode is Mode.ONE_WAY and not is_inbound):
+            await self.mode_changed.wait()
         if self.mode is Mode.DELAY:
-            await trio.sleep(self.delay)
+            await trio.sleep(self.delay_seconds)
--- a/soak/rate_judge.py
+++ b/soak/rate_judge.py
@@ -13,7 +13,7 @@
 
 from soak.calls import Call
 from soak.notice_faults import Holds
-from soak.notices import FROM, start_name
+from soak.notices import INCARNATION_HEADER, incarnation_name
 from soak.site import Site
 
 __all__ = ["RateJudge"]
@@ -59,7 +59,7 @@
         for each in site.records:
             if "clock" not in each or "instance" not in each:
                 continue
-            start = self._starts[start_name(each["instance"], each["born"])]
+            start = self._starts[incarnation_name(each["instance"], each["born"])]
             start.place = each["instance"].partition(".")[0]
             at = each["clock"] + offset
             if "named" in each:
@@ -69,7 +69,7 @@
 
         for call in calls:
             if call.served and call.answer.header(LIMIT):
-                told_by = call.answer.header(FROM).decode()
+                told_by = call.answer.header(INCARNATION_HEADER).decode()
                 self._starts[told_by].told.append(call.sent_at + call.seconds)
 
     def _counts(self, call: Call | None) -> bool:
--- a/soak/runner.py
+++ b/soak/runner.py
@@ -19,34 +19,34 @@
 from deckcourse.http1.client import ConnectionPool
 from deckcourse.http1.message import ConnectionLostError, Headers
 from deckcourse.http1.server import Exchange, Handler, IncomingRequest
-from soak.conversation import Conversation, Gate
-from soak.deadly import DEADLY, end_by
-from soak.events import EVENTS, PAD_HEADER, event
-from soak.notices import FROM, Notices, start_name
-from soak.odd_answers import Odd, OddAnswers, raw_head
+from soak.conversation import Gate, GatedConnection
+from soak.deadly import CRASH_BODY_PREFIX, crash
+from soak.events import EVENTS_PER_STREAM, PAD_HEADER, event
+from soak.notices import INCARNATION_HEADER, Notices, incarnation_name
+from soak.odd_answers import AnswerFault, AnswerFaults, raw_head
 from soak.path_check import STALL_SECONDS, PathCheck, RunningStream
-from soak.wire import JSON_TYPE, fields_of, parse_path, serve_each
+from soak.wire import JSON_HEADERS, parse_path, parse_target, serve_connections
 
 __all__ = ["RunnerSpec"]
 
 # The row's time to live, ROW_TTL_SECONDS in site.py, is three times as long.
-BEAT_SECONDS = 0.4
+ROW_WRITE_INTERVAL_SECONDS = 0.4
 # The time between two events of a stream.
-EVENT_SECONDS = 0.02
+EVENT_INTERVAL_SECONDS = 0.02
 # Probes of the other runners on the paths of running streams.
-PULSE_SECONDS = 0.1
-PULSE_ANSWER_SECONDS = 0.25
+PROBE_INTERVAL_SECONDS = 0.1
+PROBE_TIMEOUT_SECONDS = 0.25
 # The report lists a stream as stalled once it has waited for this time.
-REPORT_LAG_SECONDS = 0.2
+MIN_REPORTED_STALL_SECONDS = 0.2
 # How long an order and a request that isn't a stream take.
-LOAD_SECONDS = 0.15
-CALL_SECONDS = 0.05
+LOAD_DURATION_SECONDS = 0.15
+CALL_DURATION_SECONDS = 0.05
 # A stream with an injected break is aborted in the middle of this event.
 EVENTS_BEFORE_BREAK = 8
-PAD = PAD_HEADER.decode()
+PAD_HEADER_NAME = PAD_HEADER.decode()
 # Marks the requests that runners send to each other.
-PROBE = b"x-soak-probe"
-WRITE_SECONDS = 1.0
+PROBE_HEADER = b"x-soak-probe"
+WRITE_TIMEOUT_SECONDS = 1.0
 
 
 @dataclass(frozen=True)
@@ -66,14 +66,14 @@
     store: str
     layers: int = 0
     born: int = 0
-    load_seconds: float = LOAD_SECONDS
+    load_seconds: float = LOAD_DURATION_SECONDS
 
-    def text(self) -> str:
+    def to_json(self) -> str:
         """Return the spec as the program's argument."""
         return json.dumps(asdict(self))
 
 
-def tell(**fields: object) -> None:
+def write_record(**fields: object) -> None:
     """Write one JSON line to standard output, where the soak reads it."""
     os.write(1, json.dumps(fields).encode() + b"\n")
 
@@ -84,15 +84,15 @@
     def __init__(self, spec: RunnerSpec) -> None:
         self._spec = spec
         self._pool = ConnectionPool(lambda what: None)
-        self._first = self._end = 0
-        self._orders = 0
+        self._first_layer = self._end_layer = 0
+        self._order_count = 0
         self._is_loading = False
         # The latest run by request id; a retry may arrive before the previous run has ended.
         self._streams: dict[str, RunningStream] = {}
         self._lost: set[str] = set()
-        self._notices = Notices(partial(tell, instance=spec.instance, born=spec.born))
-        self._odd = OddAnswers(
-            Random(spec.instance), Gate(), lambda: tell(aim=spec.instance), self._notices
+        self._notices = Notices(partial(write_record, instance=spec.instance, born=spec.born))
+        self._answer_faults = AnswerFaults(
+            Random(spec.instance), Gate(), lambda: write_record(aim=spec.instance), self._notices
         )
         self._nursery: trio.Nursery | None = None
 
@@ -100,22 +100,22 @@
         """Serve until the process is killed."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
-            await nursery.start(serve_each, self._spec.port, self._open_one)
-            nursery.start_soon(self._beat)
-            nursery.start_soon(self._odd.obey, trio.lowlevel.FdStream(os.dup(0)))
-            nursery.start_soon(self._probe_parts)
+            await nursery.start(serve_connections, self._spec.port, self._wrap_connection)
+            nursery.start_soon(self._write_rows)
+            nursery.start_soon(self._answer_faults.read_orders, trio.lowlevel.FdStream(os.dup(0)))
+            nursery.start_soon(self._probe_stages)
 
-    async def _beat(self) -> None:
+    async def _write_rows(self) -> None:
         while True:
             await self._write_row()
-            await trio.sleep(BEAT_SECONDS)
+            await trio.sleep(ROW_WRITE_INTERVAL_SECONDS)
 
     async def _write_row(self) -> None:
         spec = self._spec
         held = self._held_layers()
         row = {
             "service": spec.service, "address": spec.address, "zone": spec.domain, "slots": 24,
-            "state": self._notices.state, "kind": "card" if spec.layers else "", "layers": held,
+            "state": self._notices.row_state, "kind": "card" if spec.layers else "", "layers": held,
             "models": [{"name": "m"}] if held else [], "born": spec.born,
         }  # fmt: skip
         put = {
@@ -125,15 +125,15 @@
             "value": b64encode(json.dumps(row).encode()).decode(),
         }
         body = json.dumps({"expectedRev": [], "put": [put], "remove": []}).encode()
-        await self._call(spec.store, b"POST", b"/v1/rows-tx", body, WRITE_SECONDS)
+        await self._call(spec.store, b"POST", b"/v1/rows-tx", body, WRITE_TIMEOUT_SECONDS)
 
     async def _call(
-        self, address: str, method: bytes, target: bytes, body: bytes, seconds: float
+        self, address: str, method: bytes, target: bytes, body: bytes, timeout_seconds: float
     ) -> tuple[int, bytes] | None:
         length = (b"content-length", str(len(body)).encode())
-        headers = ((b"host", b"x"), (PROBE, b"1"), length)
+        headers = ((b"host", b"x"), (PROBE_HEADER, b"1"), length)
         try:
-            with trio.move_on_after(seconds):
+            with trio.move_on_after(timeout_seconds):
                 async with self._pool.lent(address) as connection:
                     reply = await connection.call(method, target, headers, body)
                     return reply.status, await reply.whole_body()
@@ -141,118 +141,124 @@
             return None
         return None
 
-    def _open_one(self, stream: trio.SocketStream) -> tuple[Conversation, Handler]:
-        conversation = Conversation(stream, self._odd.gate)
-        return conversation, partial(self._handle, conversation)
+    def _wrap_connection(self, stream: trio.SocketStream) -> tuple[GatedConnection, Handler]:
+        connection = GatedConnection(stream, self._answer_faults.gate)
+        return connection, partial(self._handle, connection)
 
     async def _handle(
-        self, conversation: Conversation, request: IncomingRequest, exchange: Exchange
+        self, connection: GatedConnection, request: IncomingRequest, exchange: Exchange
     ) -> None:
         """Answer one request: a report, an order or a client's request."""
-        await conversation.send_kept()
-        path, _ = fields_of(request)
+        await connection.send_held_bytes()
+        path, _ = parse_target(request)
         if path == "/v1/report":
-            if (PROBE, b"1") not in request.headers:
-                self._notices.was_asked()
-                await self._odd.before_report()
-            told = (*JSON_TYPE, *self._notices.control_headers)
-            await exchange.whole(200, told, json.dumps(self._report()).encode())
+            if (PROBE_HEADER, b"1") not in request.headers:
+                self._notices.record_control_message()
+                await self._answer_faults.delay_report()
+            headers = (*JSON_HEADERS, *self._notices.control_headers)
+            await exchange.whole(200, headers, json.dumps(self._report()).encode())
         elif path == "/v1/order":
-            self._notices.was_asked()
-            await self._order(json.loads(request.body), exchange)
+            self._notices.record_control_message()
+            await self._handle_order(json.loads(request.body), exchange)
         else:
-            odd = self._odd.draw()
-            conversation.begin()
-            await self._work(request, exchange, conversation, odd)
-            answer = conversation.end()
-            self._nursery.start_soon(self._odd.behind, odd, conversation, answer)
+            fault = self._answer_faults.draw_fault()
+            connection.begin_answer()
+            await self._handle_call(request, exchange, connection, fault)
+            answer = connection.end_answer()
+            self._nursery.start_soon(self._answer_faults.send_surplus, fault, connection, answer)
 
     def _report(self) -> dict[str, object]:
         now = trio.current_time()
         stalled = [
             {"id": name, "address": stream.waits_for[0]}
             for name, stream in self._streams.items()
-            if stream.waits_for and now - stream.waits_for[1] >= REPORT_LAG_SECONDS
+            if stream.waits_for and now - stream.waits_for[1] >= MIN_REPORTED_STALL_SECONDS
         ]
         return {
-            "sequence": self._orders, "running": len(self._streams), "queued": 0, "kvUsed": 0,
-            "kvTotal": 1, "stalled": stalled, "first": self._first, "end": self._end,
+            "sequence": self._order_count, "running": len(self._streams), "queued": 0, "kvUsed": 0,
+            "kvTotal": 1, "stalled": stalled, "first": self._first_layer, "end": self._end_layer,
             "born": self._spec.born, "layers": self._held_layers(), "utilization": self._is_loading,
         }  # fmt: skip
 
     def _held_layers(self) -> dict[str, int] | None:
         """Return the held layers in the platform's format, or None if there are none."""
-        return {"rangeStart": self._first, "targetVersion": self._end} if self._end else None
+        return (
+            {"rangeStart": self._first_layer, "targetVersion": self._end_layer}
+            if self._end_layer
+            else None
+        )
 
-    async def _order(self, order: dict, exchange: Exchange) -> None:
-        told = json.dumps({"born": self._spec.born}).encode()
-        head = (*JSON_TYPE, *self._notices.control_headers)
+    async def _handle_order(self, order: dict, exchange: Exchange) -> None:
+        body = json.dumps({"born": self._spec.born}).encode()
+        headers = (*JSON_HEADERS, *self._notices.control_headers)
         if order["op"] == "repath":
             stream = self._streams.get(order["id"])
             if stream is not None:
                 stream.path = parse_path(order["path"])
-            await exchange.whole(404 if stream is None else 200, head, told)
+            await exchange.whole(404 if stream is None else 200, headers, body)
             return
-        if self._is_loading or order["expectedRev"] != self._orders:
-            await exchange.whole(409, head, told)
+        if self._is_loading or order["expectedRev"] != self._order_count:
+            await exchange.whole(409, headers, body)
             return
         first, end = order["rangeStart"], order["targetVersion"]
-        held = set(range(self._first, self._end)) if order["how"] == "wait" else set()
+        held = set(range(self._first_layer, self._end_layer)) if order["how"] == "wait" else set()
         if len(held | set(range(first, end))) > self._spec.layers:
-            tell(broken="LIMIT", instance=self._spec.instance, first=first, end=end)
-        self._orders += 1
+            write_record(broken="LIMIT", instance=self._spec.instance, first=first, end=end)
+        self._order_count += 1
         self._is_loading = True
         # Runs outside the handler, which is cancelled when the sender closes the connection.
         self._nursery.start_soon(self._load, first, end)
-        await exchange.whole(202, head, told)
+        await exchange.whole(202, headers, body)
 
     async def _load(self, first: int, end: int) -> None:
         """Complete an accepted order: hold its layers after the load time and write the row."""
         await trio.sleep(self._spec.load_seconds)
-        self._first, self._end = first, end
+        self._first_layer, self._end_layer = first, end
         self._is_loading = False
         await self._write_row()
 
-    async def _work(
+    async def _handle_call(
         self,
         request: IncomingRequest,
         exchange: Exchange,
-        conversation: Conversation,
-        odd: Odd | None,
+        connection: GatedConnection,
+        fault: AnswerFault | None,
     ) -> None:
         headers = {name.decode(): value.decode() for name, value in request.headers}
-        name = headers.get("x-request-id", "")
-        known = ((b"x-request-id", name.encode()),)
+        request_id = headers.get("x-request-id", "")
+        id_headers = ((b"x-request-id", request_id.encode()),)
         if headers.get("x-expected-instance", self._spec.instance) != self._spec.instance:
-            await exchange.whole(421, (*known, (b"x-not-executed", b"1")), b"")
+            await exchange.whole(421, (*id_headers, (b"x-not-executed", b"1")), b"")
             return
-        self._notices.arrived(name)
-        refusal = self._notices.refusal(name)
+        self._notices.record_arrival(request_id)
+        refusal = self._notices.refusal_headers(request_id)
         if refusal is not None:
-            await exchange.whole(503, (*known, *refusal), b"")
+            await exchange.whole(503, (*id_headers, *refusal), b"")
             return
         path = parse_path(headers.get("path", ""))
         if not path:
-            await self._run_request(request, exchange, conversation, odd, None)
+            await self._run_request(request, exchange, connection, fault, None)
             return
-        stream = self._streams[name] = RunningStream(path)
+        stream = self._streams[request_id] = RunningStream(path)
         try:
             path_refusal = await PathCheck(self._fetch_held_range).find_refusal(stream)
             if path_refusal is None:
-                await self._run_request(request, exchange, conversation, odd, stream)
+                await self._run_request(request, exchange, connection, fault, stream)
                 return
             extra = ((b"x-not-executed", b"1"), (b"at-server", path_refusal.address.encode()))
-            await exchange.whole(path_refusal.status, (*known, *extra), b"")
+            await exchange.whole(path_refusal.status, (*id_headers, *extra), b"")
         finally:
             # A later run of the same request may have replaced the entry.
-            if self._streams.get(name) is stream:
-                del self._streams[name]
+            if self._streams.get(request_id) is stream:
+                del self._streams[request_id]
 
-    async def _fetch_held_range(self, address: str, seconds: float) -> tuple[int, int] | None:
+    async def _fetch_held_range(
+        self, address: str, timeout_seconds: float
+    ) -> tuple[int, int] | None:
         """Return the layers that a runner holds, or None if it doesn't answer in time."""
         if address == self._spec.address:
-            return self._first, self._end
-        answer = await self._call(address, b"GET", b"/v1/report", b"", seconds)
+            return self._first_layer, self._end_layer
+        answer = await self._call(address, b"GET", b"/v1/report", b"", timeout_seconds)
         if answer is None:
             return None
         report = json.loads(answer[1])
@@ -262,61 +268,68 @@
         self,
         request: IncomingRequest,
         exchange: Exchange,
-        conversation: Conversation,
-        odd: Odd | None,
+        connection: GatedConnection,
+        fault: AnswerFault | None,
         stream: RunningStream | None,
     ) -> None:
         """Run a request: send the events of a stream, or one answer if `stream` is None."""
         headers = {name.decode(): value.decode() for name, value in request.headers}
-        name = headers.get("x-request-id", "")
-        tell(
-            run=name,
+        request_id = headers.get("x-request-id", "")
+        write_record(
+            run=request_id,
             instance=self._spec.instance,
             service=self._spec.service,
             account=headers.get("x-tenant", ""),
             layers=[each[1:] for each in stream.path] if stream else [],
         )
-        if request.body.startswith(DEADLY):
-            await end_by(request.body, name, tell)
-        if odd is Odd.MUTE:
-            await trio.sleep_until(self._odd.until)
+        if request.body.startswith(CRASH_BODY_PREFIX):
+            await crash(request.body, request_id, write_record)
+        if fault is AnswerFault.MUTE:
+            await trio.sleep_until(self._answer_faults.fault_until)
             return
-        own = start_name(self._spec.instance, self._spec.born)
-        answer = _Answer(exchange, conversation, odd, name, own, self._notices)
+        incarnation = incarnation_name(self._spec.instance, self._spec.born)
+        answer = _Answer(exchange, connection, fault, request_id, incarnation, self._notices)
         if stream is None:
-            await trio.sleep(CALL_SECONDS)
-            await answer.whole(f"answer to {name}".encode())
+            await trio.sleep(CALL_DURATION_SECONDS)
+            await answer.send_whole(f"answer to {request_id}".encode())
             return
-        after, pad = int(headers.get("last-event-id", 0)), int(headers.get(PAD, 0))
-        await self._send_events(name, stream, range(after + 1, EVENTS + 1), pad, answer)
+        after, pad = int(headers.get("last-event-id", 0)), int(headers.get(PAD_HEADER_NAME, 0))
+        await self._send_events(
+            request_id, stream, range(after + 1, EVENTS_PER_STREAM + 1), pad, answer
+        )
 
     async def _send_events(
-        self, name: str, stream: RunningStream, numbers: range, pad: int, answer: "_Answer"
+        self,
+        request_id: str,
+        stream: RunningStream,
+        numbers: range,
+        pad: int,
+        answer: "_Answer",
     ) -> None:
-        due = trio.current_time()
+        due_at = trio.current_time()
         await answer.start()
         for number in numbers:
-            due += EVENT_SECONDS
-            await trio.sleep_until(due)
-            if not await self._until_whole(stream):
+            due_at += EVENT_INTERVAL_SECONDS
+            await trio.sleep_until(due_at)
+            if not await self._wait_for_lost_stages(stream):
                 answer.cut()
                 return
-            if not await answer.send(event(name, number, pad)):
+            if not await answer.send(event(request_id, number, pad)):
                 return
         await answer.finish()
 
-    async def _until_whole(self, stream: RunningStream) -> bool:
+    async def _wait_for_lost_stages(self, stream: RunningStream) -> bool:
         """Wait while a stage of the path is lost; return whether the stream may continue."""
         deadline = trio.current_time() + STALL_SECONDS
         while lost := [each[0] for each in stream.path if each[0] in self._lost]:
             stream.waits_for = stream.waits_for or (lost[0], trio.current_time())
             if trio.current_time() > deadline:
                 return False
-            await trio.sleep(EVENT_SECONDS)
+            await trio.sleep(EVENT_INTERVAL_SECONDS)
         stream.waits_for = None
         return True
 
-    async def _probe_parts(self) -> None:
+    async def _probe_stages(self) -> None:
         """Probe the other runners on the paths of running streams at each interval."""
         while True:
             others = {each[0] for stream in self._streams.values() for each in stream.path}
@@ -325,10 +338,10 @@
             async with trio.open_nursery() as nursery:
                 for address in others:
                     nursery.start_soon(self._probe, address)
-            await trio.sleep(PULSE_SECONDS)
+            await trio.sleep(PROBE_INTERVAL_SECONDS)
 
     async def _probe(self, address: str) -> None:
-        answer = await self._call(address, b"GET", b"/v1/report", b"", PULSE_ANSWER_SECONDS)
+        answer = await self._call(address, b"GET", b"/v1/report", b"", PROBE_TIMEOUT_SECONDS)
         (self._lost.discard if answer is not None else self._lost.add)(address)
 
 
@@ -338,60 +351,64 @@
     def __init__(
         self,
         exchange: Exchange,
-        conversation: Conversation,
-        odd: Odd | None,
-        name: str,
-        own: str,
+        connection: GatedConnection,
+        fault: AnswerFault | None,
+        request_id: str,
+        incarnation: str,
         notices: Notices,
     ) -> None:
         self._exchange = exchange
-        self._conversation = conversation
-        self._odd = odd
+        self._connection = connection
+        self._fault = fault
         self._sent = 0
-        request = name.encode()
+        request = request_id.encode()
         seal = (b"x-response-seal", b"seal-" + request)
-        self._known = ((b"x-request-id", request), seal, (FROM, own.encode()))
+        self._base_headers = (
+            (b"x-request-id", request),
+            seal,
+            (INCARNATION_HEADER, incarnation.encode()),
+        )
         self._notices = notices
 
     @property
     def _headers(self) -> Headers:
-        return (*self._known, *self._notices.headers)
+        return (*self._base_headers, *self._notices.headers)
 
     @property
-    def _endless(self) -> bool:
-        return self._odd in (Odd.ENDLESS, Odd.ENDLESS_RESET)
+    def _has_no_length(self) -> bool:
+        return self._fault in (AnswerFault.ENDLESS, AnswerFault.ENDLESS_RESET)
 
-    async def whole(self, body: bytes) -> None:
+    async def send_whole(self, body: bytes) -> None:
         """Send a complete answer that isn't a stream."""
-        if self._odd is Odd.ENDLESS_RESET:
-            await self._conversation.send_all(raw_head(self._headers) + body[: len(body) // 2])
-            self._conversation.reset()
-        elif self._odd is Odd.ENDLESS:
-            await self._conversation.send_all(raw_head(self._headers) + body)
-        elif self._odd is Odd.BREAK_OFF:
+        if self._fault is AnswerFault.ENDLESS_RESET:
+            await self._connection.send_all(raw_head(self._headers) + body[: len(body) // 2])
+            self._connection.reset()
+        elif self._fault is AnswerFault.ENDLESS:
+            await self._connection.send_all(raw_head(self._headers) + body)
+        elif self._fault is AnswerFault.BREAK_OFF:
             length = (b"content-length", str(len(body)).encode())
             head = raw_head((*self._headers, length))
-            await self._conversation.send_all(head + body[: len(body) // 2])
+            await self._connection.send_all(head + body[: len(body) // 2])
         else:
             await self._exchange.whole(200, self._headers, body)
 
     async def start(self) -> None:
         """Send the head of a stream."""
         headers = (*self._headers, (b"content-type", b"text/event-stream"))
-        if self._endless:
-            await self._conversation.send_all(raw_head(headers))
+        if self._has_no_length:
+            await self._connection.send_all(raw_head(headers))
         else:
             await self._exchange.start(200, headers)
 
     async def send(self, data: bytes) -> bool:
         """Send an event; return whether more may follow."""
         self._sent += 1
-        if self._odd is Odd.ENDLESS_RESET and self._sent == EVENTS_BEFORE_BREAK:
+        if self._fault is AnswerFault.ENDLESS_RESET and self._sent == EVENTS_BEFORE_BREAK:
             self.cut()
             return False
-        if self._endless:
-            await self._conversation.send_all(data)
-        elif self._odd is Odd.BREAK_OFF and self._sent == EVENTS_BEFORE_BREAK:
+        if self._has_no_length:
+            await self._connection.send_all(data)
+        elif self._fault is AnswerFault.BREAK_OFF and self._sent == EVENTS_BEFORE_BREAK:
             await self._exchange.send(data[: len(data) // 2])
             return False
         else:
@@ -400,7 +417,7 @@
 
     async def finish(self) -> None:
         """Complete a stream."""
-        if not self._endless:
+        if not self._has_no_length:
             await self._exchange.finish()
 
     def cut(self) -> None:
@@ -408,8 +425,8 @@
 
         An answer without a length is reset, since closing its connection would complete it.
         """
-        if self._endless:
-            self._conversation.reset()
+        if self._has_no_length:
+            self._connection.reset()
 
 
 if __name__ == "__main__":
--- a/soak/site.py
+++ b/soak/site.py
@@ -159,7 +159,7 @@
 
     async def _add_entry(self, number: int, domain: str) -> None:
         name = f"e{number}"
-        front = Proxy(free_port(), free_port(), narrow=True)
+        front = Proxy(free_port(), free_port(), small_buffers=True)
         store = Proxy(free_port(), self.store_port)
         for proxy in (front, store):
             await self._nursery.start(proxy.run)
@@ -193,7 +193,7 @@
         name = f"{runner.spec.instance}.{runner.starts // STARTS_UNDER_ONE_ID}"
         runner.starts += 1
         spec = replace(runner.spec, instance=name, born=int(time() * 1000))
-        command = [sys.executable, "-m", "soak.runner", spec.text()]
+        command = [sys.executable, "-m", "soak.runner", spec.to_json()]
         runner.process = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
         self._nursery.start_soon(self._read_records, runner.process)
 
--- a/soak/store.py
+++ b/soak/store.py
@@ -7,7 +7,7 @@
 import trio
 
 from deckcourse.http1.server import Exchange, IncomingRequest
-from soak.wire import JSON_TYPE, fields_of
+from soak.wire import JSON_HEADERS, parse_target
 
 __all__ = ["StandinStore"]
 
@@ -39,20 +39,20 @@
 
     async def handle(self, request: IncomingRequest, exchange: Exchange) -> None:
         """Answer a read, a transaction or a feed request."""
-        path, fields = fields_of(request)
+        path, fields = parse_target(request)
         if self.refuses:
-            await exchange.whole(503, JSON_TYPE, b"{}")
+            await exchange.whole(503, JSON_HEADERS, b"{}")
         elif path == "/v1/rows-tx":
             status, answer = self._transact(json.loads(request.body))
-            await exchange.whole(status, JSON_TYPE, json.dumps(answer).encode())
+            await exchange.whole(status, JSON_HEADERS, json.dumps(answer).encode())
         elif path == "/v1/rows-feed":
             await self._feed(fields, exchange)
         else:
-            await exchange.whole(200, JSON_TYPE, json.dumps(self._read(fields)).encode())
+            await exchange.whole(200, JSON_HEADERS, json.dumps(self._read(fields)).encode())
 
     def _read(self, fields: dict[str, str]) -> dict[str, object]:
         table, first = fields["table"], fields.get("rangeStart", "")
-        keys = sorted(key for name, key in self.rows if name == table and key >= first)
+        keys = sorted(key for row_table, key in self.rows if row_table == table and key >= first)
         limit = int(fields.get("limit", 500))
         rows = [self._row(table, key) for key in keys[:limit]]
         return {"rows": rows, "more": len(keys) > limit, "ver": self.version}
@@ -62,10 +62,10 @@
         return {"table": table, "part": "", "tlsKey": key, "ver": version, "value": value}
 
     def _transact(self, body: dict) -> tuple[int, dict[str, object]]:
-        places = [(each["table"], each["tlsKey"], each["ver"]) for each in body["expectedRev"]]
-        wrong = [each for each in places if self.rows.get(each[:2], (0, ""))[0] != each[2]]
-        if wrong:
-            rows = [self._row(table, key) for table, key, _ in wrong]
+        expected = [(each["table"], each["tlsKey"], each["ver"]) for each in body["expectedRev"]]
+        conflicts = [each for each in expected if self.rows.get(each[:2], (0, ""))[0] != each[2]]
+        if conflicts:
+            rows = [self._row(table, key) for table, key, _ in conflicts]
             return 412, {"rows": rows, "ver": self.version}
         for each in body["put"]:
             self.put(each["table"], each["tlsKey"], each["value"])
@@ -76,12 +76,14 @@
     async def _feed(self, fields: dict[str, str], exchange: Exchange) -> None:
         table, after = fields["table"], int(fields["afterRev"])
         with trio.move_on_after(int(fields["waitMs"]) / 1000):
-            while not any(at > after and name == table for at, name, _, _ in self.log):
+            while not any(
+                version > after and row_table == table for version, row_table, _, _ in self.log
+            ):
                 await self.changed.wait()
         rows = [
-            {"tlsKey": key, "ver": at, "value": value, "gone": value is None}
-            for at, name, key, value in self.log
-            if at > after and name == table
+            {"tlsKey": key, "ver": version, "value": value, "gone": value is None}
+            for version, row_table, key, value in self.log
+            if version > after and row_table == table
         ]
         answer = {"rows": rows, "ver": self.version}
-        await exchange.whole(200, JSON_TYPE, json.dumps(answer).encode())
+        await exchange.whole(200, JSON_HEADERS, json.dumps(answer).encode())
--- a/soak/suspendable.py
+++ b/soak/suspendable.py
@@ -17,40 +17,44 @@
 
 # A process that doesn't read the clock for longer was stopped. A running one checks its streams, or
 # for streams to check, several times in this time.
-LONGEST_PAUSE_SECONDS = 0.3
+MAX_PAUSE_SECONDS = 0.3
 
 
-class _SteadyHand:
+class _SuspendableClock:
     """A monotonic clock that excludes the times of suspension."""
 
     def __init__(self) -> None:
-        self._read = time.monotonic
-        self._last = self._read()
-        self._suspended = 0.0
+        self._read_clock = time.monotonic
+        self._last_read_at = self._read_clock()
+        self._suspended_seconds = 0.0
 
     def seconds(self) -> float:
         """Return the clock's time in seconds."""
-        now = self._read()
-        if now > self._last + LONGEST_PAUSE_SECONDS:
-            self._suspended += now - self._last
-        self._last = now
-        return now - self._suspended
+        now = self._read_clock()
+        if now > self._last_read_at + MAX_PAUSE_SECONDS:
+            self._suspended_seconds += now - self._last_read_at
+        self._last_read_at = now
+        return now - self._suspended_seconds
 
 
-def _suspend_steady_clock() -> None:
+def _replace_monotonic_clock() -> None:
     """Replace all functions of `time` that read the monotonic clock."""
-    hand = _SteadyHand()
-    usual = time.clock_gettime
+    suspendable_clock = _SuspendableClock()
+    original_clock_gettime = time.clock_gettime
 
     def clock_gettime(clock: int) -> float:
-        return hand.seconds() if clock == time.CLOCK_MONOTONIC else usual(clock)
+        return (
+            suspendable_clock.seconds()
+            if clock == time.CLOCK_MONOTONIC
+            else original_clock_gettime(clock)
+        )
 
-    time.monotonic = time.perf_counter = hand.seconds
+    time.monotonic = time.perf_counter = suspendable_clock.seconds
     time.clock_gettime = clock_gettime
 
 
 if __name__ == "__main__":
     # Must precede other imports, since most modules keep a reference to the clock function.
-    _suspend_steady_clock()
+    _replace_monotonic_clock()
 
     runpy.run_module("deckcourse.platform", run_name="__main__")
--- a/soak/wire.py
+++ b/soak/wire.py
@@ -14,23 +14,23 @@
 __all__ = [
     "BACKLOG",
     "HOST",
-    "JSON_TYPE",
-    "fields_of",
+    "JSON_HEADERS",
+    "parse_target",
     "free_port",
     "parse_path",
     "serve",
-    "serve_each",
+    "serve_connections",
 ]
 
 HOST = "127.0.0.1"
 BACKLOG = 256
-JSON_TYPE = ((b"content-type", b"application/json"),)
+JSON_HEADERS = ((b"content-type", b"application/json"),)
 
 # Below the system's ephemeral ports. Each process uses a range of its own, chosen by its id.
-LOWEST_PORT = 12_000
-PORT_RANGES = 300
-PORTS_OF_ONE_PROCESS = 60
-_ports = count(LOWEST_PORT + os.getpid() % PORT_RANGES * PORTS_OF_ONE_PROCESS)
+MIN_PORT = 12_000
+PORT_RANGE_COUNT = 300
+PORTS_PER_PROCESS = 60
+_ports = count(MIN_PORT + os.getpid() % PORT_RANGE_COUNT * PORTS_PER_PROCESS)
 
 
 def free_port() -> int:
@@ -45,7 +45,7 @@
     raise AssertionError("the sequence of ports is endless")
 
 
-def fields_of(request: IncomingRequest) -> tuple[str, dict[str, str]]:
+def parse_target(request: IncomingRequest) -> tuple[str, dict[str, str]]:
     """Return the path of a request and the fields of its query."""
     path, _, query = request.target.decode().partition("?")
     return path, {name: values[0] for name, values in parse_qs(query).items()}
@@ -53,24 +53,24 @@
 
 def parse_path(text: str) -> list[tuple[str, int, int]]:
     """Return a path as (address, first layer, end layer) per stage; empty for an empty text."""
-    parts = []
-    for part in filter(None, text.split(",")):
-        address, _, layers = part.partition("=")
+    stages = []
+    for stage in filter(None, text.split(",")):
+        address, _, layers = stage.partition("=")
         first, _, end = layers.partition("-")
-        parts.append((address, int(first), int(end)))
-    return parts
+        stages.append((address, int(first), int(end)))
+    return stages
 
 
 async def serve(
     port: int, handler: Handler, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
 ) -> None:
     """Serve HTTP requests on a port until cancelled."""
-    await serve_each(port, lambda stream: (stream, handler), task_status)
+    await serve_connections(port, lambda stream: (stream, handler), task_status)
 
 
-async def serve_each(
+async def serve_connections(
     port: int,
-    open_one: Callable[[trio.SocketStream], tuple[trio.abc.Stream, Handler]],
+    wrap_connection: Callable[[trio.SocketStream], tuple[trio.abc.Stream, Handler]],
     task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
 ) -> None:
     """Serve HTTP requests on a port until cancelled, with a handler for each connection.
@@ -85,7 +85,7 @@
     task_status.started()
     async with trio.open_nursery() as nursery:
         while True:
-            stream, handler = open_one(await listener.accept())
+            stream, handler = wrap_connection(await listener.accept())
             nursery.start_soon(serve_connection, stream, handler, bounds, lambda: False)
 
 
