--- a/features/processes.py
+++ b/features/processes.py
@@ -1,4 +1,4 @@
-"""Real processes on loopback: the daemons and the stand-ins, started and signalled by tests."""
+"""A site of real processes on loopback: the daemons and the stand-ins of upstreams and platform."""
 
 import http.client
 import itertools
@@ -21,8 +21,8 @@
 TOKEN = "an-operator's-token"
 MODEL = "m"
 DEPTH = 12
-START_SECONDS = 30
-LOOK_SECONDS = 0.05
+START_TIMEOUT_SECONDS = 30
+POLL_INTERVAL_SECONDS = 0.05
 BALANCER_LAG_MS = 1500
 
 
@@ -36,7 +36,7 @@
 
 
 class Reply:
-    """A whole HTTP reply."""
+    """A complete HTTP reply."""
 
     def __init__(self, status_code: int, headers: dict[str, str], body: bytes) -> None:
         self.status = status_code
@@ -49,7 +49,7 @@
 
 
 class Processes:
-    """A site of real processes; `stop` ends each by its id."""
+    """A site of real processes; `stop` kills each by its process id."""
 
     def __init__(self, engines: int = 7, entries: int = 2, controllers: int = 2) -> None:
         self.folder = Path(tempfile.mkdtemp(prefix="deckcourse-"))
@@ -61,16 +61,18 @@
         self.services = ["vans-1"]
 
     def start(self) -> "Processes":
-        """Start everything, serve a model and let one account in."""
+        """Start all processes, load a model and create an account."""
         platform = own_address()
         self.addresses["platform"] = platform
         self._start_upstreams()
-        self._spawn("platform", "deckcourse-standin", "platform", platform, *self._listed())
+        self._spawn(
+            "platform", "deckcourse-standin", "platform", platform, *self._write_instances()
+        )
         for number, name in enumerate(self.entries + self.controllers):
-            self._start_router(name, number)
+            self._start_daemon(name, number)
         for name in [*self.children]:
             self._wait_for_port(name)
-        self._prepare()
+        self._configure_site()
         return self
 
     def _start_upstreams(self) -> None:
@@ -85,7 +87,7 @@
             options = ["--seconds", "0.4", "--runs", str(self.folder / f"{name}.runs")]
             self._spawn(name, "deckcourse-standin", "service", name, self.addresses[name], *options)
 
-    def _listed(self) -> list[str]:
+    def _write_instances(self) -> list[str]:
         lines = [
             {
                 "name": name,
@@ -124,8 +126,8 @@
         path.write_text(json.dumps(lines), encoding="utf-8")
         return ["--instances", str(path)]
 
-    def settings(self, name: str) -> Path:
-        """Write the settings of a daemon."""
+    def _write_settings(self, name: str) -> Path:
+        """Write the settings file of a daemon and return its path."""
         role = name.partition("-")[0]
         token = self.folder / "operator.token"
         token.write_text(TOKEN, encoding="utf-8")
@@ -146,9 +148,9 @@
         path.write_text("\n".join(lines) + "\n", encoding="utf-8")
         return path
 
-    def _start_router(self, name: str, number: int) -> None:
+    def _start_daemon(self, name: str, number: int) -> None:
         program = f"deckcourse-{name.partition('-')[0]}"
-        self._spawn(name, program, "--settings", str(self.settings(name)))
+        self._spawn(name, program, "--settings", str(self._write_settings(name)))
 
     def _spawn(self, name: str, program: str, *arguments: str) -> None:
         log = (self.folder / f"{name}.log").open("ab")
@@ -158,13 +160,13 @@
         log.close()
 
     def _wait_for_port(self, name: str) -> None:
-        deadline = time.monotonic() + START_SECONDS
+        deadline = time.monotonic() + START_TIMEOUT_SECONDS
         while time.monotonic() < deadline:
             text = self.log(name)
             if " listens on " in text:
                 return
             assert self.children[name].poll() is None, text
-            time.sleep(LOOK_SECONDS)
+            time.sleep(POLL_INTERVAL_SECONDS)
         raise AssertionError(f"{name} did not start: {self.log(name)}")
 
     def log(self, name: str) -> str:
@@ -173,20 +175,20 @@
     def operator(self, number: int = 1) -> Operator:
         return Operator(self.addresses[f"controller-{number}"], TOKEN)
 
-    def _prepare(self) -> None:
-        self.wait_until(lambda: len(self._loaded("")) == len(self.engines))
+    def _configure_site(self) -> None:
+        self.wait_until(lambda: len(self._runners_with_model("")) == len(self.engines))
         account = {"kind": "account", "account": "tenants", "key_hash": hash_key(KEY)}
         self.intend(account | {"tokens_per_second": 10000.0})
         self.intend({"kind": "service", "service": "vans", "repeatable": False})
         self.intend({"kind": "serve", "model": MODEL, "depth": DEPTH, "capacity": 50.0})
-        self.wait_until(lambda: len(self._loaded(MODEL)) >= 6)
+        self.wait_until(lambda: len(self._runners_with_model(MODEL)) >= 6)
         for name in self.entries:
-            self.wait_until(lambda name=name: self._answers(name))
+            self.wait_until(lambda name=name: self._completes(name))
 
-    def _answers(self, entry: str) -> bool:
+    def _completes(self, entry: str) -> bool:
         return self.complete(entry, 1).status == 200
 
-    def _loaded(self, model: str) -> list:
+    def _runners_with_model(self, model: str) -> list:
         try:
             runners = trio.run(status, self.operator())["runners"]
         except CommandError:
@@ -194,8 +196,8 @@
         return [each for each in runners if each["load"] and each["load"]["model"] == model]
 
     def intend(self, intent: dict, number: int = 1) -> None:
-        """State an intent and confirm its plan; again where the answer is not known."""
-        deadline = time.monotonic() + START_SECONDS
+        """State an intent and confirm its plan; retry on errors until the timeout."""
+        deadline = time.monotonic() + START_TIMEOUT_SECONDS
         while True:
             try:
                 plan = trio.run(state_intent, self.operator(number), intent)
@@ -205,14 +207,14 @@
                 assert time.monotonic() < deadline, f"{intent} was not accepted"
                 time.sleep(0.5)
 
-    def wait_until(self, done, seconds: float = START_SECONDS) -> None:
+    def wait_until(self, condition, seconds: float = START_TIMEOUT_SECONDS) -> None:
         deadline = time.monotonic() + seconds
-        while not done():
-            assert time.monotonic() < deadline, "what was waited for did not come"
-            time.sleep(LOOK_SECONDS)
+        while not condition():
+            assert time.monotonic() < deadline, "the condition was not met in time"
+            time.sleep(POLL_INTERVAL_SECONDS)
 
     def send(self, name: str, signal_name: str) -> None:
-        """Send a signal to one of the children."""
+        """Send a signal to a child process."""
         os.kill(self.children[name].pid, getattr(signal, signal_name))
 
     def connect(self, entry: str, seconds: float = 30.0) -> http.client.HTTPConnection:
@@ -220,10 +222,10 @@
         return http.client.HTTPConnection(host, int(port), timeout=seconds)
 
     def request(self, entry: str, method: str, path: str, body=b"", headers=None, key=KEY) -> Reply:
-        """Make one call and return its whole reply."""
+        """Send a request and return its complete reply."""
         connection = self.connect(entry)
-        every = {"authorization": f"Bearer {key}", **(headers or {})}
-        connection.request(method, path, body, every)
+        all_headers = {"authorization": f"Bearer {key}", **(headers or {})}
+        connection.request(method, path, body, all_headers)
         response = connection.getresponse()
         reply = Reply(response.status, dict(response.getheaders()), response.read())
         connection.close()
@@ -234,14 +236,14 @@
         return self.request(entry, "POST", "/v1/completions", json.dumps(body).encode())
 
     def runs(self, name: str) -> list[dict]:
-        """Return a stand-in's own record of what it ran."""
+        """Return the records that a stand-in has written of its executions."""
         path = self.folder / f"{name}.runs"
         if not path.exists():
             return []
         return [json.loads(line) for line in path.read_bytes().splitlines()]
 
     def stop(self) -> None:
-        """End every child that still runs, by its id."""
+        """Kill every child process that is still running, by its process id."""
         for child in self.children.values():
             if child.poll() is None:
                 child.send_signal(signal.SIGCONT)
--- a/features/soak.feature
+++ b/features/soak.feature
@@ -1,26 +1,27 @@
-Feature: The real processes under faults from outside, by a seed
+Feature: The real processes under injected faults, drawn from a seed
 
-  Scenario: A short soak keeps every promise
-    When the soak plays seed 7 with faults for 4 seconds
-    Then it tells of no broken promise
+  Scenario: A short soak without a violation
+    When the soak runs seed 7 with faults for 4 seconds
+    Then it reports no violation
 
-  # Upstreams asked for time without requests and got them all the same: no upstream of the soak had
-  # asked for anything.
-  Scenario: Upstreams that ask for time or leave by word of their answers get what they ask for
-    When the soak plays seed 5 for 4 seconds with upstreams that ask, and nothing else
-    Then it tells of no broken promise
-    And it judged times that upstreams had asked for
+  # Guards against requests that reach upstreams during a backoff or after a leaving notice. Without
+  # such notices the soak doesn't detect them.
+  Scenario: Upstreams that ask for a backoff or announce their shutdown in answers get no further requests
+    When the soak runs seed 5 for 4 seconds with notices of upstreams as the only faults
+    Then it reports no violation
+    And it checked backoffs that upstreams had asked for
 
-  # Requests ended every upstream that ran them: no upstream of the soak ended by what it was sent.
-  Scenario: Requests that end their upstreams are stopped, and other callers served
-    When the soak plays seed 2 for 5 seconds with requests that end upstreams, and nothing else
-    Then it tells of no broken promise
-    And it judged upstreams that had ended by requests
+  # Guards against a request that crashes every upstream that executes it. Without such requests the
+  # soak doesn't detect it.
+  Scenario: Requests that crash their upstreams are quarantined, and other callers are served
+    When the soak runs seed 2 for 5 seconds with requests that crash upstreams as the only faults
+    Then it reports no violation
+    And it checked upstreams that requests had crashed
 
-  # A caller of the soak took an answer that it could not read for one that its connection had lost,
-  # and its connection's end for the end of what was to be judged: a chunk without a head passed.
-  Scenario: A caller of the soak takes no answer that a strict reader would not
-    When a caller of the soak gets an answer and then its connection's end
+  # Guards against treating a malformed answer as one that was cut by its connection, and against
+  # checking nothing after a connection is closed: a chunk without a head passed unnoticed.
+  Scenario: A caller of the soak rejects every answer that a strict client rejects
+    When a caller of the soak receives an answer and then its connection is closed
       | answer                    | bytes                                                | verdict        |
       | nothing                   |                                                      | cut            |
       | a part of a head          | HTTP/1.1 200 \r\nx-requ                              | cut            |
@@ -42,4 +43,4 @@
       | a trailer                 | {head}{all}0\r\nx: 1\r\n\r\n                         | no HTTP answer |
       | another's request id      | HTTP/1.1 503 \r\nX-Request-Id: r2\r\nContent-Length: 2\r\n\r\nno | request id |
       | no seal                   | HTTP/1.1 200 \r\nX-Request-Id: r1\r\nContent-Length: 2\r\n\r\nid | seal      |
-    Then each time the verdict is the one said, at every place at which the bytes may be cut in two
+    Then each verdict is as expected, at every position at which the bytes may be split in two
