--- a/features/soak_runner.feature
+++ b/features/soak_runner.feature
@@ -17,7 +17,7 @@
     And the stand-in runner is still running
 
   # Guards against refusing a stream because another runner on its path is slow to respond.
-  Scenario Outline: A stream starts once every runner on its path reports holding its part: <case>
+  Scenario Outline: A stream starts once every runner on its path reports holding its layers: <case>
     Given a stand-in runner with a capacity of 8 layers and a load time of 0.15 second
     And it holds layers 0-4
     And another runner that <state>
--- a/features/steps/soak_runner_steps.py
+++ b/features/steps/soak_runner_steps.py
@@ -17,8 +17,8 @@
 from soak.wire import HOST, free_port
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-START_SECONDS = 20.0
-CALL_SECONDS = 10.0
+START_TIMEOUT_SECONDS = 20.0
+CALL_TIMEOUT_SECONDS = 10.0
 # The delay of a slow runner's first response, in seconds.
 RESPONSE_DELAY_SECONDS = 0.6
 REQUEST_ID = "r1"
@@ -37,7 +37,7 @@
     )
     context.add_cleanup(kill_process, context.runner)
     context.port = port
-    assert poll_until(lambda: fetch_report(context), START_SECONDS)
+    assert poll_until(lambda: fetch_report(context), START_TIMEOUT_SECONDS)
 
 
 def kill_process(process):
@@ -54,7 +54,7 @@
 
 
 def new_connection(context):
-    return HTTPConnection(HOST, context.port, timeout=CALL_SECONDS)
+    return HTTPConnection(HOST, context.port, timeout=CALL_TIMEOUT_SECONDS)
 
 
 def fetch_report(context):
@@ -115,7 +115,9 @@
     connection = new_connection(context)
     assert send_order(connection, first, end, 0) == 202
     expected_layers = {"rangeStart": first, "targetVersion": end}
-    assert poll_until(lambda: fetch_report(context)["layers"] == expected_layers, CALL_SECONDS)
+    assert poll_until(
+        lambda: fetch_report(context)["layers"] == expected_layers, CALL_TIMEOUT_SECONDS
+    )
     connection.close()
 
 
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -41,7 +41,7 @@
 MIN_SERIES_SECONDS = 6.0
 SERIES_INTERVAL_SECONDS = 1.0
 # Each domain of four runners can heal one that is lost.
-MAX_FAULTY_RUNNERS = 2
+MAX_AFFECTED_RUNNERS = 2
 
 
 class Faults:
@@ -99,7 +99,7 @@
 
     async def _runner(self) -> None:
         by_name = {each.spec.instance: each for each in self._site.runners}
-        name = self._choose_unaffected(list(by_name), MAX_FAULTY_RUNNERS)
+        name = self._choose_unaffected(list(by_name), MAX_AFFECTED_RUNNERS)
         if name is not None:
             self._affected.add(name)
             await self._disrupt_runner(by_name[name])
--- a/soak/path_check.py
+++ b/soak/path_check.py
@@ -12,10 +12,10 @@
 NOT_HELD_STATUS = 421
 NO_ANSWER_STATUS = 503
 # How long a stream waits for an unavailable runner before it is refused or, once started, aborted.
-STALL_SECONDS = 2.5
+STALL_TIMEOUT_SECONDS = 2.5
 QUERY_TIMEOUT_SECONDS = 1.0
 # The delay before a query is retried and the interval at which the path is rechecked.
-RETRY_SECONDS = 0.1
+RETRY_INTERVAL_SECONDS = 0.1
 
 # The address of a runner, the first layer of its stage and the layer after the last one.
 Stage = tuple[str, int, int]
@@ -58,7 +58,7 @@
 
     async def find_refusal(self, stream: RunningStream) -> PathRefusal | None:
         """Return why a stream can't start, or None once every stage is held."""
-        deadline = trio.current_time() + STALL_SECONDS
+        deadline = trio.current_time() + STALL_TIMEOUT_SECONDS
         while True:
             path = stream.path
             held_ranges = _HeldRanges()
@@ -74,7 +74,7 @@
     async def _query(self, address: str, held_ranges: "_HeldRanges") -> None:
         """Query a runner until it answers."""
         while (held := await self._fetch_held_range(address, QUERY_TIMEOUT_SECONDS)) is None:
-            await trio.sleep(RETRY_SECONDS)
+            await trio.sleep(RETRY_INTERVAL_SECONDS)
         held_ranges.add(address, held)
 
 
@@ -113,5 +113,5 @@
             return PathRefusal(NO_ANSWER_STATUS, missing[0])
         if stream.waits_for is None or stream.waits_for[0] not in missing:
             stream.waits_for = missing[0], now
-        await held_ranges.wait_for_change(RETRY_SECONDS)
+        await held_ranges.wait_for_change(RETRY_INTERVAL_SECONDS)
     return None
--- a/soak/runner.py
+++ b/soak/runner.py
@@ -24,7 +24,7 @@
 from soak.events import EVENTS_PER_STREAM, PAD_HEADER, event
 from soak.notices import INCARNATION_HEADER, Notices, incarnation_name
 from soak.odd_answers import AnswerFault, AnswerFaults, raw_head
-from soak.path_check import STALL_SECONDS, PathCheck, RunningStream
+from soak.path_check import STALL_TIMEOUT_SECONDS, PathCheck, RunningStream
 from soak.wire import JSON_HEADERS, parse_path, parse_target, serve_connections
 
 __all__ = ["RunnerSpec"]
@@ -320,7 +320,7 @@
 
     async def _wait_for_lost_stages(self, stream: RunningStream) -> bool:
         """Wait while a stage of the path is lost; return whether the stream may continue."""
-        deadline = trio.current_time() + STALL_SECONDS
+        deadline = trio.current_time() + STALL_TIMEOUT_SECONDS
         while lost := [each[0] for each in stream.path if each[0] in self._lost]:
             stream.waits_for = stream.waits_for or (lost[0], trio.current_time())
             if trio.current_time() > deadline:
