--- a/soak/notice_faults.py
+++ b/soak/notice_faults.py
@@ -118,7 +118,7 @@
         self._leaving.add(name)
         self._log_fault(
             f"runner {name} leaves within {seconds:.1f} s,"
-            f" row {'draining' if announces_draining else 'unchanged'}"
+            f" row {'' if announces_draining else 'never '}draining"
         )
         self._site.send_order(runner, leaving=True)
         if also_backs_off:
