--- a/soak/caller_connection.py
+++ b/soak/caller_connection.py
@@ -1,4 +1,4 @@
-"""A caller's connection to one entry: kept for many requests, read strictly, at times slowly."""
+"""A caller's connection to one entry: reused, parsed strictly and in some cases read slowly."""
 
 import socket
 from contextlib import suppress
@@ -11,43 +11,46 @@
 
 __all__ = ["CallerConnection", "Manner", "connect"]
 
-# What is read at once, bytes.
-READ_BYTES = 4096
-# The receive buffer and the longest segment of a caller that reads slowly, bytes: what a sender may
-# have on its way follows from both.
-NARROW_BYTES = 4096
-NARROW_SEGMENT_BYTES = 1400
-# For how long a caller looks for bytes behind an answer that said that it is the last, seconds.
-LAST_LOOK_SECONDS = 0.3
-CONNECT_SECONDS = 1.0
+MAX_READ_BYTES = 4096
+# The receive buffer and the largest segment of a caller that reads slowly. Together they limit what
+# a sender may have in flight.
+SMALL_BUFFER_BYTES = 4096
+SMALL_SEGMENT_BYTES = 1400
+# How long a caller waits for surplus bytes after an answer with `Connection: close`.
+SURPLUS_TIMEOUT_SECONDS = 0.3
+CONNECT_TIMEOUT_SECONDS = 1.0
 
 
 @dataclass(frozen=True)
 class Manner:
     """How a caller reads one answer.
 
-    `pauses` are (bytes, seconds): behind so many bytes it stands still for so long. It goes away
-    behind `leaves_after` bytes or `leaves_in` seconds, whichever comes first.
+    `pauses` are (bytes, seconds): the caller pauses for this time after this number of bytes. It
+    disconnects after `disconnects_after_bytes` or `disconnects_after_seconds`, whichever is first.
     """
 
     pauses: tuple[tuple[int, float], ...] = ()
-    leaves_after: int | None = None
-    leaves_in: float = float("inf")
+    disconnects_after_bytes: int | None = None
+    disconnects_after_seconds: float = float("inf")
 
     @classmethod
-    def slow(cls, random: Random, most: int, longest: float, size: int) -> "Manner":
-        """Draw one that stands still a few times, in an answer of so many bytes."""
-        places = sorted(random.randrange(size) for _ in range(random.randint(1, most)))
-        return cls(tuple((each, random.uniform(0.1, longest)) for each in places))
+    def slow(
+        cls, random: Random, max_pauses: int, max_seconds: float, answer_bytes: int
+    ) -> "Manner":
+        """Draw the pauses in an answer of `answer_bytes` bytes."""
+        offsets = sorted(
+            random.randrange(answer_bytes) for _ in range(random.randint(1, max_pauses))
+        )
+        return cls(tuple((each, random.uniform(0.1, max_seconds)) for each in offsets))
 
     @classmethod
-    def leaving(cls, random: Random, longest: float, size: int) -> "Manner":
-        """Draw one that goes away in the middle."""
-        return cls((), random.randrange(size), random.uniform(0.0, longest))
+    def disconnecting(cls, random: Random, max_seconds: float, answer_bytes: int) -> "Manner":
+        """Draw when the caller disconnects during an answer of `answer_bytes` bytes."""
+        return cls((), random.randrange(answer_bytes), random.uniform(0.0, max_seconds))
 
 
 class CallerConnection:
-    """One open connection; `surplus` is what came on it that belongs to no request."""
+    """An open connection; `surplus` holds received bytes that belong to no request."""
 
     def __init__(self, entry: str, stream: trio.SocketStream) -> None:
         self.entry = entry
@@ -55,72 +58,76 @@
         self._stream = stream
         self._requests = 0
 
-    async def usable(self) -> bool:
-        """Return whether nothing came since the last answer, neither bytes nor the end."""
+    async def is_usable(self) -> bool:
+        """Return whether neither bytes nor a close arrived after the last answer."""
         if not self._stream.socket.is_readable():
             return True
-        with suppress(trio.BrokenResourceError):  # It was reset.
-            self.surplus = await self._stream.receive_some(READ_BYTES)
+        with suppress(trio.BrokenResourceError):  # The connection was reset.
+            self.surplus = await self._stream.receive_some(MAX_READ_BYTES)
         return False
 
-    async def ask(self, request: bytes, call: Call, manner: Manner) -> bool:
-        """Send a request and read its answer; return whether the connection may be used again."""
+    async def send_request(self, request: bytes, call: Call, manner: Manner) -> bool:
+        """Send a request and read its answer; return whether the connection is reusable."""
         self._requests += 1
-        call.number, call.entry = self._requests, self.entry
-        with trio.move_on_after(manner.leaves_in) as leaving:
+        call.number_on_connection, call.entry = self._requests, self.entry
+        with trio.move_on_after(manner.disconnects_after_seconds) as cancel_scope:
             try:
                 await self._stream.send_all(request)
                 await self._read(call, manner)
             except (trio.BrokenResourceError, trio.ClosedResourceError):
                 return False
-        call.left |= leaving.cancelled_caught
-        if not call.whole or call.unreadable:
+        call.has_disconnected |= cancel_scope.cancelled_caught
+        if not call.is_complete or call.parse_error:
             return False
         if b"close" in call.answer.header(b"connection").lower():
-            await self._look_behind(call)
+            await self._check_for_surplus(call)
             return False
         return True
 
     async def _read(self, call: Call, manner: Manner) -> None:
         pauses = list(manner.pauses)
-        got = 0
-        while not call.whole:
-            data = await self._stream.receive_some(READ_BYTES)
-            got += len(data)
+        received_bytes = 0
+        while not call.is_complete:
+            data = await self._stream.receive_some(MAX_READ_BYTES)
+            received_bytes += len(data)
             if not data or not call.feed(data):
                 return
-            if manner.leaves_after is not None and got > manner.leaves_after and not call.whole:
-                call.left = True
+            if (
+                manner.disconnects_after_bytes is not None
+                and received_bytes > manner.disconnects_after_bytes
+                and not call.is_complete
+            ):
+                call.has_disconnected = True
                 return
-            while pauses and pauses[0][0] < got:
+            while pauses and pauses[0][0] < received_bytes:
                 await trio.sleep(pauses.pop(0)[1])
 
-    async def _look_behind(self, call: Call) -> None:
-        """See that nothing comes behind an answer that said that it is the last one."""
-        with trio.move_on_after(LAST_LOOK_SECONDS):
-            data = await self._stream.receive_some(READ_BYTES)
+    async def _check_for_surplus(self, call: Call) -> None:
+        """Check that no bytes follow an answer with `Connection: close`."""
+        with trio.move_on_after(SURPLUS_TIMEOUT_SECONDS):
+            data = await self._stream.receive_some(MAX_READ_BYTES)
             if data:
                 call.feed(data)
 
     def close(self) -> None:
-        """Close at once."""
+        """Close the socket immediately."""
         self._stream.socket.close()
 
 
-async def connect(entry: str, narrow: bool) -> CallerConnection | None:
-    """Return a new connection to `IP:port`, None where there is none to be had.
+async def connect(entry: str, small_buffers: bool) -> CallerConnection | None:
+    """Return a new connection, or None if it can't be opened.
 
     Args:
-      entry: where to.
-      narrow: whether little fits between the sender and this side.
+      entry: the address, `IP:port`.
+      small_buffers: whether to limit the bytes in flight from the sender.
     """
     host, _, port = entry.rpartition(":")
     sock = trio.socket.socket()
-    if narrow:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, NARROW_BYTES)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, NARROW_SEGMENT_BYTES)
+    if small_buffers:
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, SMALL_SEGMENT_BYTES)
     try:
-        with trio.fail_after(CONNECT_SECONDS):
+        with trio.fail_after(CONNECT_TIMEOUT_SECONDS):
             await sock.connect((host, int(port)))
     except (OSError, trio.TooSlowError):
         sock.close()
--- a/soak/deadly.py
+++ b/soak/deadly.py
@@ -1,4 +1,4 @@
-"""Requests that end the runner that begins to run them, and how a stand-in of a runner does so."""
+"""Requests that crash the runner that executes them, and the crash of a stand-in runner."""
 
 import os
 import time
@@ -6,18 +6,17 @@
 
 import trio
 
-__all__ = ["DEADLY", "DEADLY_EXIT", "end_by"]
+__all__ = ["CRASH_BODY_PREFIX", "CRASH_EXIT_CODE", "crash"]
 
-# What the body of such a request begins with.
-DEADLY = b"deadly"
-# The exit code of a runner that ended by one.
-DEADLY_EXIT = 7
-# From the begin of the run to its end, seconds: two events of other streams come in it.
-FUSE_SECONDS = 0.04
+# The first bytes of the body of a crash request.
+CRASH_BODY_PREFIX = b"deadly"
+CRASH_EXIT_CODE = 7
+# The time from the start of the execution to the exit: two event intervals of other streams.
+CRASH_DELAY_SECONDS = 0.04
 
 
-async def end_by(body: bytes, request: str, tell: Callable[..., None]) -> None:
-    """Record that a request runs that ends this process, and end a moment later."""
-    tell(deadly=body.decode(), request=request, clock=time.monotonic())
-    await trio.sleep(FUSE_SECONDS)
-    os._exit(DEADLY_EXIT)
+async def crash(body: bytes, request_id: str, write_record: Callable[..., None]) -> None:
+    """Record that a crash request is executed, and exit after a delay."""
+    write_record(deadly=body.decode(), request=request_id, clock=time.monotonic())
+    await trio.sleep(CRASH_DELAY_SECONDS)
+    os._exit(CRASH_EXIT_CODE)
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on the loopback address that delays, cuts, silences or resets what passes it."""
+"""A TCP proxy on the loopback address that delays, blocks or resets its connections."""
 
 import socket
 from dataclasses import dataclass, field
@@ -10,16 +10,15 @@
 
 __all__ = ["Mode", "Proxy"]
 
-# The most that is read at once, bytes.
-CHUNK_BYTES = 64 * 1024
-# What a narrow proxy reads and keeps at once, and the longest segment it takes, bytes: the sender
-# soon feels a slow reader behind it.
-NARROW_BYTES = 4096
-NARROW_SEGMENT_BYTES = 1400
+MAX_READ_BYTES = 64 * 1024
+# The read size, the socket buffers and the largest segment of a proxy with small buffers, so that a
+# slow reader soon blocks the sender.
+SMALL_BUFFER_BYTES = 4096
+SMALL_SEGMENT_BYTES = 1400
 
 
 class Mode(StrEnum):
-    """What a proxy does with bytes."""
+    """What a proxy does with the bytes that it receives."""
 
     PASS = "pass"
     DELAY = "delay"
@@ -29,91 +28,91 @@
 
 @dataclass
 class Proxy:
-    """Passes connections to `port` on to `target`; bytes held up by a cut are passed on later.
+    """Forwards connections from `port` to `target`; blocked bytes are forwarded later.
 
-    A `narrow` one keeps little of what goes outwards, so that a slow reader holds its sender up.
+    With `small_buffers` it buffers little of the output, so that a slow reader blocks its sender.
     """
 
     port: int
     target: int
-    narrow: bool = False
+    small_buffers: bool = False
     mode: Mode = Mode.PASS
-    delay: float = 0.0
-    changed: trio.Event = field(default_factory=trio.Event)
-    _pairs: set[tuple[trio.SocketStream, trio.SocketStream]] = field(default_factory=set)
+    delay_seconds: float = 0.0
+    mode_changed: trio.Event = field(default_factory=trio.Event)
+    _connections: set[tuple[trio.SocketStream, trio.SocketStream]] = field(default_factory=set)
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """The address that the proxy listens on."""
         return f"{HOST}:{self.port}"
 
-    def set(self, mode: Mode, delay: float = 0.0) -> None:
-        """Change what it does from now on."""
-        self.mode, self.delay = mode, delay
-        self.changed.set()
-        self.changed = trio.Event()
+    def set_mode(self, mode: Mode, delay_seconds: float = 0.0) -> None:
+        """Change the mode from now on."""
+        self.mode, self.delay_seconds = mode, delay_seconds
+        self.mode_changed.set()
+        self.mode_changed = trio.Event()
 
     def reset(self) -> None:
-        """Reset every connection that passes."""
-        for pair in list(self._pairs):
+        """Reset all open connections."""
+        for pair in list(self._connections):
             for stream in pair:
                 reset(stream)
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Pass connections on until cancelled."""
+        """Accept and forward connections until cancelled."""
         (listener,) = await trio.open_tcp_listeners(self.port, host=HOST, backlog=BACKLOG)
         task_status.started()
         async with trio.open_nursery() as nursery:
             while True:
-                nursery.start_soon(self._connect, await listener.accept())
+                nursery.start_soon(self._forward_connection, await listener.accept())
 
-    async def _open_far(self) -> trio.SocketStream:
+    async def _connect_to_target(self) -> trio.SocketStream:
         sock = trio.socket.socket()
         try:
-            if self.narrow:
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, NARROW_BYTES)
-                sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, NARROW_SEGMENT_BYTES)
+            if self.small_buffers:
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
+                sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, SMALL_SEGMENT_BYTES)
             await sock.connect((HOST, self.target))
         except BaseException:
             sock.close()
             raise
         return trio.SocketStream(sock)
 
-    async def _connect(self, near: trio.SocketStream) -> None:
-        await self._let_through(True)
+    async def _forward_connection(self, accepted: trio.SocketStream) -> None:
+        await self._wait_while_blocked(True)
         try:
-            far = await self._open_far()
+            target_stream = await self._connect_to_target()
         except OSError:
-            reset(near)
+            reset(accepted)
             return
-        if self.narrow:
-            near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, NARROW_BYTES)
-        pair = (near, far)
-        self._pairs.add(pair)
+        if self.small_buffers:
+            accepted.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
+        pair = (accepted, target_stream)
+        self._connections.add(pair)
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._pass_on, near, far, True)
-                nursery.start_soon(self._pass_on, far, near, False)
+                nursery.start_soon(self._forward, accepted, target_stream, True)
+                nursery.start_soon(self._forward, target_stream, accepted, False)
         except* (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
-            pass  # One side is gone; the other learns of it by the reset below.
+            pass  # One side is closed; the other one is reset below.
         finally:
-            self._pairs.discard(pair)
+            self._connections.discard(pair)
             for stream in pair:
                 reset(stream)
 
-    async def _pass_on(
-        self, source: trio.SocketStream, sink: trio.SocketStream, inwards: bool
+    async def _forward(
+        self, source: trio.SocketStream, destination: trio.SocketStream, is_inbound: bool
     ) -> None:
-        most = NARROW_BYTES if self.narrow else CHUNK_BYTES
-        while data := await source.receive_some(most):
-            await self._let_through(inwards)
-            await sink.send_all(data)
-        await self._let_through(inwards)
-        await sink.send_eof()
-
-    async def _let_through(self, inwards: bool) -> None:
-        """Wait for as long as bytes in a direction are held up."""
-        while self.mode is Mode.SILENT or (self.mode is Mode.ONE_WAY and not inwards):
-            await self.changed.wait()
+        max_bytes = SMALL_BUFFER_BYTES if self.small_buffers else MAX_READ_BYTES
+        while data := await source.receive_some(max_bytes):
+            await self._wait_while_blocked(is_inbound)
+            await destination.send_all(data)
+        await self._wait_while_blocked(is_inbound)
+        await destination.send_eof()
+
+    async def _wait_while_blocked(self, is_inbound: bool) -> None:
+        """Wait while bytes in a direction are blocked or delayed."""
+        while self.mode is Mode.SILENT or (self.mode is Mode.ONE_WAY and not is_inbound):
+            await self.mode_changed.wait()
         if self.mode is Mode.DELAY:
-            await trio.sleep(self.delay)
+            await trio.sleep(self.delay_seconds)
--- a/soak/rate_faults.py
+++ b/soak/rate_faults.py
@@ -1,4 +1,4 @@
-"""Runners that name a rate limit for all entries together, for some seconds each."""
+"""Runners that announce a rate limit for all entries together, for some seconds each."""
 
 from collections.abc import Callable
 from random import Random
@@ -9,55 +9,59 @@
 
 __all__ = ["RateFaults"]
 
-# Between two of these faults, seconds; limits last longer, so that they overlap.
-SHORTEST_GAP_SECONDS = 0.5
-LONGEST_GAP_SECONDS = 2.5
-# For how long a limit is named, seconds.
-SHORTEST_LIMIT_SECONDS = 4.0
-LONGEST_LIMIT_SECONDS = 9.0
-# What is named, requests a second; nothing at all among them.
+# The time between two of these faults. Limits last longer, so that they overlap.
+MIN_FAULT_INTERVAL_SECONDS = 0.5
+MAX_FAULT_INTERVAL_SECONDS = 2.5
+# How long a limit is announced.
+MIN_LIMIT_SECONDS = 4.0
+MAX_LIMIT_SECONDS = 9.0
+# The limits that are drawn from, in requests a second; 0 allows no request.
 RATES = (0.0, 0.7, 2.3, 2.3, 5.0, 12.0)
-# A limit changes while it is named in so many cases.
-CHANGED_SHARE = 0.3
+# The share of limits that are replaced by another one halfway.
+CHANGE_SHARE = 0.3
 
 
 class RateFaults:
-    """Lets runners of a site name limits, drawn apart from other faults, which go on beside.
+    """Makes runners announce rate limits, chosen independently of the other faults.
 
     Args:
-      site: whose runners.
-      random: draws what, whom and for how long.
-      say: told of each.
+      site: the site whose runners announce limits.
+      random: chooses the limits, the runners and the durations.
+      log_fault: called with a description of each limit.
     """
 
-    def __init__(self, site: Site, random: Random, say: Callable[[str], None]) -> None:
+    def __init__(self, site: Site, random: Random, log_fault: Callable[[str], None]) -> None:
         self._site = site
         self._random = random
-        self._say = say
+        self._log_fault = log_fault
         self._limited: set[str] = set()
 
     async def run(self, until: float) -> None:
-        """Go on until a moment of trio's clock; return once nobody names a limit."""
+        """Inject limits until a time on trio's clock; return once none is announced."""
         async with trio.open_nursery() as nursery:
             while trio.current_time() < until:
-                nursery.start_soon(self._limit)
-                gap = self._random.uniform(SHORTEST_GAP_SECONDS, LONGEST_GAP_SECONDS)
-                await trio.sleep(gap)
+                nursery.start_soon(self._announce_limit)
+                interval = self._random.uniform(
+                    MIN_FAULT_INTERVAL_SECONDS, MAX_FAULT_INTERVAL_SECONDS
+                )
+                await trio.sleep(interval)
 
-    async def _limit(self) -> None:
+    async def _announce_limit(self) -> None:
         runner = self._random.choice(self._site.runners)
         rate, seconds = self._random.choice(RATES), self._draw_seconds()
-        later = self._random.choice(RATES) if self._random.random() < CHANGED_SHARE else rate
+        second_rate = self._random.choice(RATES) if self._random.random() < CHANGE_SHARE else rate
         name = runner.spec.instance
         if name in self._limited:
             return
         self._limited.add(name)
-        self._say(f"runner {name} takes {rate:g} a second, then {later:g}, for {seconds:.1f} s")
-        for each in (rate, later):
-            self._site.tell_runner(runner, limit=f"{each:g}")
+        self._log_fault(
+            f"runner {name} limits to {rate:g} a second, then {second_rate:g}, for {seconds:.1f} s"
+        )
+        for each in (rate, second_rate):
+            self._site.send_order(runner, limit=f"{each:g}")
             await trio.sleep(seconds / 2)
-        self._site.tell_runner(runner, limit="")
+        self._site.send_order(runner, limit="")
         self._limited.discard(name)
 
     def _draw_seconds(self) -> float:
-        return self._random.uniform(SHORTEST_LIMIT_SECONDS, LONGEST_LIMIT_SECONDS)
+        return self._random.uniform(MIN_LIMIT_SECONDS, MAX_LIMIT_SECONDS)
