--- a/features/mutants_peers.py
+++ b/features/mutants_peers.py
@@ -97,7 +97,7 @@
 
     def begin(self, *args):
         original(self, *args)
-        self._starting_until = float("-inf")
+        self._warm_up_ends_at = float("-inf")
 
     RetryAllowance.__init__ = begin
 
--- a/tools/start_cost.py
+++ b/tools/start_cost.py
@@ -61,9 +61,9 @@
 
 
 class IndexedStore(StandinStore):
-    """The stand-in, quick where it has many changes to tell."""
+    """A stand-in store that finds the changes after a version by binary search."""
 
-    def _news(self, table, after):
+    def _changes_after(self, table, after):
         start = bisect_right(self.log, after, key=lambda each: each[0])
         return [(key, data, at) for at, name, key, data in self.log[start:] if name == table]
 
