--- a/deckcourse/gateway/listed_rows.py
+++ b/deckcourse/gateway/listed_rows.py
@@ -34,13 +34,13 @@
         """Whether any service was configured yet."""
         return bool(self._services)
 
-    def is_named(self, row: Upstream) -> bool:
+    def is_configured(self, row: Upstream) -> bool:
         """Return whether the service of a row is configured."""
         return row.service in self._services
 
     def unconfigured(self) -> list[Upstream]:
         """Return the rows whose service isn't configured."""
-        return [row for _, row in self._rows.values() if not self.is_named(row)]
+        return [row for _, row in self._rows.values() if not self.is_configured(row)]
 
     def add_services(self, services: Iterable[str]) -> None:
         """Add the configured services, and use the rows that waited for them."""
@@ -48,7 +48,7 @@
         self._services |= added
         unconfigured = {each.address for _, each in self._rows.values() if each.service in added}
         for address in sorted(unconfigured):
-            self._settle(address)
+            self._use_newest(address)
 
     def replace_all(self, rows: Iterable[tuple[int, Upstream]]) -> None:
         """Replace all rows by a snapshot of rows with their versions."""
@@ -67,23 +67,23 @@
         self._claims[row.address].add(row.name)
         if self._newest(row.address) is not row:
             self._upstreams.withdraw(row.name)
-        self._settle(row.address)
+        self._use_newest(row.address)
         if previous is not None and previous.address != row.address:
-            self._settle(previous.address)
+            self._use_newest(previous.address)
 
     def remove(self, key: str) -> None:
         """Remove a row that was deleted from the store."""
         previous = self._pop(key)
         self._upstreams.remove(key)
         if previous is not None:
-            self._settle(previous.address)
+            self._use_newest(previous.address)
 
     def withdraw(self, key: str) -> None:
         """Remove a row whose stored value is malformed."""
         previous = self._pop(key)
         self._upstreams.withdraw(key)
         if previous is not None:
-            self._settle(previous.address)
+            self._use_newest(previous.address)
 
     def _pop(self, key: str) -> Upstream | None:
         _, row = self._rows.pop(key, (0, None))
@@ -95,10 +95,10 @@
 
     def _newest(self, address: str) -> Upstream | None:
         claims = (self._rows[key] for key in self._claims.get(address, ()))
-        configured = [each for each in claims if self.is_named(each[1])]
+        configured = [each for each in claims if self.is_configured(each[1])]
         return max(configured, key=lambda each: each[0])[1] if configured else None
 
-    def _settle(self, address: str) -> None:
+    def _use_newest(self, address: str) -> None:
         newest = self._newest(address)
         if newest is not None:
             self._upstreams.put(newest)
--- a/deckcourse/gateway/refused_rows.py
+++ b/deckcourse/gateway/refused_rows.py
@@ -23,9 +23,9 @@
     def __init__(self, count: Callable[[str], None], log: Callable[..., None]) -> None:
         self._count = count
         self._log = log
-        self._told: set[str] = set()
+        self._logged_keys: set[str] = set()
 
-    def note(self, kind: str, key: str, reason: str) -> None:
+    def reject(self, kind: str, key: str, reason: str) -> None:
         """Count a rejected row and log it unless it was logged before.
 
         Args:
@@ -34,15 +34,15 @@
           reason: why it was rejected.
         """
         self._count(f"{kind}.upstream")
-        if key in self._told or len(self._told) >= MAX_LOGGED_ROWS:
+        if key in self._logged_keys or len(self._logged_keys) >= MAX_LOGGED_ROWS:
             return
-        self._told.add(key)
+        self._logged_keys.add(key)
         self._log(kind, key=key[:MAX_KEY_CHARS], what=reason[:MAX_REASON_CHARS])
 
     def forget(self, key: str) -> None:
         """Record that a row is valid or gone: its next rejection is logged again."""
-        self._told.discard(key)
+        self._logged_keys.discard(key)
 
     def keep_only(self, keys: set[str]) -> None:
         """Drop all rows but those with the given keys."""
-        self._told &= keys
+        self._logged_keys &= keys
--- a/deckcourse/gateway/row_intake.py
+++ b/deckcourse/gateway/row_intake.py
@@ -167,15 +167,15 @@
                 self._check_service(row)
                 return row
             case Failure(error):
-                self._refused.note("malformed", key, error)
+                self._refused.reject("malformed", key, error)
         return None
 
     def _check_service(self, row: Upstream) -> None:
         """Record whether the service of a well-formed row is configured."""
-        if self._listed.is_named(row):
+        if self._listed.is_configured(row):
             self._refused.forget(row.name)
         elif self._listed.has_services:
-            self._refused.note("unnamed", row.name, f"service {row.service} is not configured")
+            self._refused.reject("unnamed", row.name, f"service {row.service} is not configured")
 
 
 def _key_in_table(row: Row) -> str:
--- a/features/mutants_foreign.py
+++ b/features/mutants_foreign.py
@@ -16,11 +16,11 @@
 
 
 def any_service_is_named():
-    ListedRows.is_named = lambda self, row: True
+    ListedRows.is_configured = lambda self, row: True
 
 
 def claims_end_for_good():
-    original = ListedRows._settle
+    original = ListedRows._use_newest
 
     def settle(self, address):
         newest = self._newest(address)
@@ -33,17 +33,17 @@
 
     original_put = ListedRows.put
     ListedRows._older = frozenset()
-    ListedRows._settle, ListedRows.put = settle, put
+    ListedRows._use_newest, ListedRows.put = settle, put
 
 
 def refused_rows_are_told_of_each_time():
-    original = RefusedRows.note
+    original = RefusedRows.reject
 
     def note(self, kind, key, reason):
-        self._told.clear()
+        self._logged_keys.clear()
         original(self, kind, key, reason)
 
-    RefusedRows.note = note
+    RefusedRows.reject = note
 
 
 def rows_may_be_nested():
