--- a/deckcourse/gateway/dialect.py
+++ b/deckcourse/gateway/dialect.py
@@ -5,7 +5,7 @@
 from enum import StrEnum
 from typing import Protocol
 
-from deckcourse.gateway.upstream import StartNews, Upstream
+from deckcourse.gateway.upstream import StartOrder, Upstream
 from deckcourse.gateway.upstream_notice import NOTHING_ASKED, UpstreamNotice
 from deckcourse.http1.client import UpstreamReply
 from deckcourse.http1.message import Headers
@@ -149,7 +149,7 @@
     A reply from another incarnation than the addressed one doesn't count as a reply.
     """
 
-    def judge_starts(self, judge: Callable[[Upstream, int], StartNews]) -> None:
+    def judge_starts(self, judge: Callable[[Upstream, int], StartOrder]) -> None:
         """Register the callback for the start time in each reply, also to orders."""
 
     def listen(self, listener: NoticeListener) -> None:
--- a/deckcourse/gateway/known_starts.py
+++ b/deckcourse/gateway/known_starts.py
@@ -1,13 +1,13 @@
 """Known incarnations of upstreams: the newest of each name, the ended and the leaving ones."""
 
-__all__ = ["KnownStarts"]
+__all__ = ["KnownIncarnations"]
 
 # Bound on the names, ended and leaving incarnations that are kept. Late messages about an ended
 # incarnation must not revive it, and memory must not grow with each restart.
 MAX_ENTRIES = 10_000
 
 
-class KnownStarts:
+class KnownIncarnations:
     """Bounded records of incarnations; the least recently recorded ones are evicted."""
 
     def __init__(self) -> None:
@@ -19,7 +19,7 @@
         """Return the newest start time of a name, `default` if none is known."""
         return self._newest.get(name, default)
 
-    def note(self, name: str, start: int) -> None:
+    def set_newest(self, name: str, start: int) -> None:
         """Record the newest start time of a name."""
         _put(self._newest, name, start)
 
--- a/deckcourse/gateway/lapse_check.py
+++ b/deckcourse/gateway/lapse_check.py
@@ -59,12 +59,12 @@
                 await self._store_recovered.wait()
                 self._store_recovered = trio.Event()
                 self._probed.clear()
-                while not self._upstreams.settled:
+                while not self._upstreams.is_settled:
                     if self._probes():
-                        self._ask_new(nursery)
+                        self._probe_new(nursery)
                     await trio.sleep(CHECK_INTERVAL_SECONDS)
 
-    def _ask_new(self, nursery: trio.Nursery) -> None:
+    def _probe_new(self, nursery: trio.Nursery) -> None:
         """Probe the upstreams with layers whose rows lapsed since the last check."""
         for row in self._upstreams.lapsed():
             # A rate limited upstream may have no token left for the probe.
--- a/deckcourse/gateway/lookup.py
+++ b/deckcourse/gateway/lookup.py
@@ -169,7 +169,7 @@
 
     def _accepting(self, rows: list[Upstream]) -> list[Upstream]:
         # Even if no row remains: an upstream's refusal would use up the caller's only attempt.
-        return [each for each in rows if self._context.upstreams.may_begin(each.instance)]
+        return [each for each in rows if self._context.upstreams.is_available(each.instance)]
 
     def _load(self, upstream: Upstream) -> float:
         upstreams = self._context.upstreams
@@ -193,7 +193,7 @@
         self, upstream: Upstream, token: SendingToken
     ) -> _Response | _Refused | _Lost | Withheld:
         context = self._context
-        context.upstreams.begin(upstream.instance)
+        context.upstreams.begin_request(upstream.instance)
         run = context.crashes.begin_run(self._admitted, upstream.instance)
         max_idle_seconds = (
             MAX_IDLE_SECONDS if self._admitted.route.repeatable else MAX_IDLE_ONCE_SECONDS
@@ -208,11 +208,11 @@
             result = await self._on_failure(upstream, failure, run)
         finally:
             context.crashes.end_run(self._admitted, upstream.instance)
-            context.upstreams.end(upstream.instance)
+            context.upstreams.end_request(upstream.instance)
         if isinstance(result, Withheld):
             return result
         failed = not isinstance(result, _Response) or result.status >= SERVER_ERROR
-        context.upstreams.note(upstream.instance, failed)
+        context.upstreams.record_outcome(upstream.instance, failed)
         if failed:
             self._log_failed_attempt(upstream, result)
         return result
--- a/deckcourse/gateway/node.py
+++ b/deckcourse/gateway/node.py
@@ -27,7 +27,7 @@
 from deckcourse.gateway.row_intake import RowIntake
 from deckcourse.gateway.stalls import StallMonitor
 from deckcourse.gateway.traffic_share import TrafficShare
-from deckcourse.gateway.upstream import StartNews, Upstream
+from deckcourse.gateway.upstream import StartOrder, Upstream
 from deckcourse.gateway.upstreams import UpstreamTable
 from deckcourse.http1.server import Exchange, IncomingRequest
 from deckcourse.layers.healer import Healer
@@ -93,7 +93,7 @@
         self._traffic_share = TrafficShare(trio.current_time)
         self._desired: DesiredState | None = None
         self._desired_changed = trio.Event()
-        self._upstreams = UpstreamTable(trio.current_time, self._note_ended)
+        self._upstreams = UpstreamTable(trio.current_time, self._on_incarnation_ended)
         ports.control.judge_starts(self._on_observed_start)
         self._rate_limits = RateLimitBook(trio.current_time, self._on_limit_change)
         notices = NoticeIntake(self._upstreams, self._rate_limits, counters.count, log)
@@ -133,7 +133,7 @@
             self._upstreams,
             self._plan_book,
             ports.pool,
-            self._take_desired,
+            self._apply_desired,
             self._on_plan,
             self._on_row_gone,
             counters.count,
@@ -394,7 +394,7 @@
         for healer in self._healers.values():
             healer.witness(domain)
 
-    def _note_ended(self, older: Upstream) -> None:
+    def _on_incarnation_ended(self, older: Upstream) -> None:
         """Drop the state of a superseded incarnation after its upstream restarted."""
         self._rate_limits.forget(older.instance)
         self._counters.count("upstream.restarted")
@@ -410,14 +410,14 @@
 
     def _on_row_gone(self, upstream: Upstream) -> None:
         """Treat the upstream of a deleted row as ended, unless it left or its row may be lapsed."""
-        if not upstream.leaving and self._upstreams.settled:
+        if not upstream.leaving and self._upstreams.is_settled:
             self._crash_watch.note_ended(upstream.instance)
 
-    def _on_observed_start(self, addressed: Upstream, start: int) -> StartNews:
+    def _on_observed_start(self, addressed: Upstream, start: int) -> StartOrder:
         """Record the start time in a reply; peers may not know of a newer incarnation yet."""
         listed = self._upstreams.get(addressed.instance) is not None
         observed = self._upstreams.observe_start(addressed, start)
-        if listed and observed is StartNews.NEWER:
+        if listed and observed is StartOrder.NEWER:
             self._report_lost_upstream(addressed.domain)
         return observed
 
@@ -442,7 +442,7 @@
             "store-regained" if recovered else "store-lost", age=round(self._configuration_age(), 3)
         )
 
-    def _take_desired(self, desired: DesiredState) -> None:
+    def _apply_desired(self, desired: DesiredState) -> None:
         current_version = self._desired.version if self._desired is not None else None
         if current_version is not None and desired.version <= current_version:
             return
--- a/deckcourse/gateway/path_choice.py
+++ b/deckcourse/gateway/path_choice.py
@@ -140,7 +140,7 @@
         return self._utilization(path) < ROOM_UTILIZATION and not self.refused_recently(path)
 
     def _firsts(self) -> list[Upstream]:
-        changes = self._upstreams.changes
+        changes = self._upstreams.change_count
         if self._cached_firsts is None or self._cached_firsts[0] != changes:
             usable = self._upstreams.usable(self._service)
             self._cached_firsts = changes, [each for each in usable if each.first == 0 < each.end]
@@ -169,7 +169,7 @@
 
     def _stage_capacities(self, path: LayerPath) -> Sequence[tuple[str, float]]:
         """Return the instance and capacity of each stage of a path, cached until rows change."""
-        changes = self._upstreams.changes
+        changes = self._upstreams.change_count
         if (
             self._capacities_valid_for[0] != changes
             or self._capacities_valid_for[1] is not self._cached_path_set
@@ -322,7 +322,7 @@
         return avoiding or paths.starts(avoid)
 
     def _path_set(self, model: ModelSpec) -> PathSet:
-        key = (self._upstreams.changes, model)
+        key = (self._upstreams.change_count, model)
         if self._cached_path_set is None or self._cached_path_set[0] != key:
             before = self._cached_path_set[1] if self._cached_path_set is not None else None
             hosts = self._upstreams.layer_hosts(self._service)
@@ -339,7 +339,7 @@
         None if one accepts them now, or if no path holds every layer.
         """
         firsts = [each.parts[0].instance for each in self._path_set(model).starts()]
-        return self._upstreams.first_end(firsts)
+        return self._upstreams.first_accepts_at(firsts)
 
     def _draw(self, paths: list[LayerPath]) -> LayerPath | None:
         return draw_path(self._without_overloaded(paths) or paths, self._score, self._random)
--- a/deckcourse/gateway/stalls.py
+++ b/deckcourse/gateway/stalls.py
@@ -185,7 +185,7 @@
                 self._interrupt_streams_of(upstream.instance, "silent")
         else:
             query_state.unanswered = 0
-            self._upstreams.note_pace(upstream.instance, report.pace)
+            self._upstreams.record_pace(upstream.instance, report.pace)
             await self._handle_report(upstream, report.waiting_for, query_state)
 
     async def _probe_later_stages(self, first: str) -> None:
@@ -238,7 +238,7 @@
         due = []
         for instance in instances:
             upstream = self._upstreams.last_known(instance)
-            if upstream is None or self._upstreams.is_suspect(instance):
+            if upstream is None or self._upstreams.is_suspected(instance):
                 continue
             if instance not in self._next_probe_at:
                 self._next_probe_at[instance] = now + PROBE_INTERVAL_SECONDS
@@ -251,7 +251,7 @@
         if result.pulse is Pulse.SILENT:
             result = await self._control.pulse(upstream, SECOND_PROBE_TIMEOUT_SECONDS)
         if result.pulse is Pulse.ALIVE:
-            self._upstreams.note_pace(upstream.instance, result.pace)
+            self._upstreams.record_pace(upstream.instance, result.pace)
         elif result.pulse is not Pulse.UNASKED:
             lost.append((upstream, result.pulse))
 
@@ -267,10 +267,10 @@
         instance = upstream.instance
         deadline = trio.current_time() + SUSPICION_TTL_SECONDS
         try:
-            while trio.current_time() < deadline and self._upstreams.is_suspect(instance):
+            while trio.current_time() < deadline and self._upstreams.is_suspected(instance):
                 result = await self._control.pulse(upstream, CONFIRMING_PROBE_TIMEOUT_SECONDS)
                 if result.pulse is Pulse.ALIVE:
-                    self._upstreams.clear(instance)
+                    self._upstreams.clear_suspicion(instance)
                     self._log("suspicion-ended", instance=instance, address=upstream.address)
                     return
                 if result.pulse is not Pulse.UNASKED:
@@ -315,7 +315,7 @@
             blocking = self._upstreams.at_address(address, first.service)
             if blocking is None:
                 self._log("stall-unknown-upstream", address=address)
-            elif not self._upstreams.is_suspect(blocking.instance):
+            elif not self._upstreams.is_suspected(blocking.instance):
                 blocking_upstreams[blocking.instance] = blocking
         lost: list[tuple[Upstream, Pulse]] = []
         async with trio.open_nursery() as nursery:
@@ -370,7 +370,7 @@
         later_stages = [each.instance for each in stream.path.parts[1:]]
         upstreams = self._upstreams
         return stream.blocking_instance in later_stages or any(
-            upstreams.is_suspect(each) or upstreams.has_ended(each) for each in later_stages
+            upstreams.is_suspected(each) or upstreams.has_ended(each) for each in later_stages
         )
 
     def _is_better_elsewhere(self, stream: ActiveStream) -> bool:
--- a/deckcourse/gateway/stream.py
+++ b/deckcourse/gateway/stream.py
@@ -253,7 +253,7 @@
             self._admitted.route.gap_objective,
             reserve_retry=self._retries.reserve,
         )
-        context.upstreams.begin(first.instance)
+        context.upstreams.begin_request(first.instance)
         context.monitor.add(stream)
         try:
             with stream.interruptible():
@@ -267,9 +267,9 @@
         finally:
             context.monitor.discard(stream)
             context.crashes.end_run(self._admitted, first.instance)
-            context.upstreams.end(first.instance)
+            context.upstreams.end_request(first.instance)
         if isinstance(result, _Finished | _Broken):
-            context.upstreams.note(first.instance, isinstance(result, _Broken))
+            context.upstreams.record_outcome(first.instance, isinstance(result, _Broken))
         return result
 
     async def _on_interruption(self, stream: ActiveStream) -> _AttemptResult:
--- a/deckcourse/gateway/stream_retries.py
+++ b/deckcourse/gateway/stream_retries.py
@@ -56,7 +56,7 @@
         live = [
             each
             for each in self._executed_by
-            if self._upstreams.get(each) is not None and not self._upstreams.is_suspect(each)
+            if self._upstreams.get(each) is not None and not self._upstreams.is_suspected(each)
         ]
         return self._route.repeatable and len(live) < self._route.attempts
 
--- a/deckcourse/gateway/upstream.py
+++ b/deckcourse/gateway/upstream.py
@@ -3,10 +3,10 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-__all__ = ["StartNews", "Upstream"]
+__all__ = ["StartOrder", "Upstream"]
 
 
-class StartNews(StrEnum):
+class StartOrder(StrEnum):
     """The incarnation that sent a reply, relative to the one that was addressed."""
 
     SAME = "same"
--- a/deckcourse/gateway/upstreams.py
+++ b/deckcourse/gateway/upstreams.py
@@ -9,9 +9,9 @@
 
 from deckcourse.gateway.backoffs import Backoffs
 from deckcourse.gateway.failure_share import FailureShare
-from deckcourse.gateway.known_starts import KnownStarts
+from deckcourse.gateway.known_starts import KnownIncarnations
 from deckcourse.gateway.throttles import Throttles
-from deckcourse.gateway.upstream import StartNews, Upstream
+from deckcourse.gateway.upstream import StartOrder, Upstream
 from deckcourse.layers.hosts import LayerHost
 
 __all__ = ["UpstreamTable"]
@@ -44,7 +44,7 @@
         self._on_ended = on_ended
         # The instance of each name, also a departed one that may still run streams.
         self._instance_by_name: dict[str, str] = {}
-        self._incarnations = KnownStarts()
+        self._incarnations = KnownIncarnations()
         # By name: a requested backoff outlives a restart of the upstream. That costs a few seconds
         # of an upstream that holds no layers yet.
         self._backoffs = Backoffs(clock)
@@ -68,12 +68,12 @@
         self._next_expiry = float("inf")
 
     @property
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         """Whether the rows are reliable: no store outage ended within the grace period."""
         return self._clock() - self._store_recovered_at >= LAPSE_GRACE_SECONDS
 
     @property
-    def changes(self) -> int:
+    def change_count(self) -> int:
         """A counter that rises with every change that may change the best path."""
         self._expire()
         return self._changes
@@ -101,7 +101,7 @@
         if row.start is not None:
             if row.start < self._incarnations.newest(row.name, row.start):
                 return False
-            self._incarnations.note(row.name, row.start)
+            self._incarnations.set_newest(row.name, row.start)
         self._supersede_others(row.name, row.instance)
         self._instance_by_name[row.name] = row.instance
         self._incarnations.mark_current(row.instance)
@@ -122,21 +122,21 @@
         self._note_change(row.instance)
         return True
 
-    def observe_start(self, addressed: Upstream, start: int) -> StartNews:
+    def observe_start(self, addressed: Upstream, start: int) -> StartOrder:
         """Record the start time in a reply to a message that addressed an incarnation.
 
         A newer incarnation supersedes the addressed one at once, and gets no requests until its row
         says which layers it holds.
         """
         if addressed.start is None:
-            return StartNews.SAME
+            return StartOrder.SAME
         newest = self._incarnations.newest(addressed.name, addressed.start)
         if start > addressed.start:
             if start > newest:
-                self._incarnations.note(addressed.name, start)
+                self._incarnations.set_newest(addressed.name, start)
                 self._supersede_others(addressed.name, "")
-            return StartNews.NEWER
-        return StartNews.OLDER if start < newest else StartNews.SAME
+            return StartOrder.NEWER
+        return StartOrder.OLDER if start < newest else StartOrder.SAME
 
     def _supersede_others(self, name: str, instance: str) -> None:
         """Drop the known incarnation of a name unless it is `instance`: its process has ended."""
@@ -202,7 +202,7 @@
         leaving = self._incarnations.is_leaving(instance) or (row is not None and row.leaving)
         return not leaving and self.backoff_until(instance) is None
 
-    def may_begin(self, instance: str) -> bool:
+    def is_available(self, instance: str) -> bool:
         """Return whether an upstream accepts requests and isn't throttled."""
         return self.accepts(instance) and not self._throttles.is_throttled(instance)
 
@@ -212,9 +212,9 @@
         None if one accepts them now, or if all of them are leaving.
         """
         rows = self.of_service(service)
-        return self.first_end([each.instance for each in rows if not self._is_leaving(each)])
+        return self.first_accepts_at([each.instance for each in rows if not self._is_leaving(each)])
 
-    def first_end(self, instances: Iterable[str]) -> float | None:
+    def first_accepts_at(self, instances: Iterable[str]) -> float | None:
         """Return when the first of some upstreams accepts requests again, on the clock.
 
         None if one accepts them now, or if there are no upstreams.
@@ -273,7 +273,7 @@
         for instance in [name for name, at in self._lapsing.items() if at <= now]:
             self._drop(instance)
         for instance in [name for name, at in self._suspect_until.items() if at <= now]:
-            self.clear(instance)
+            self.clear_suspicion(instance)
         for instance in [name for name, (_, at) in self._paces.items() if at <= now]:
             self._note_change(instance, self._paces.pop(instance)[0] > 1.0 + MIN_PACE_CHANGE)
         for instance in self._throttles.expire(now):
@@ -309,12 +309,12 @@
         self._suspect_until[instance] = max(deadline, self._suspect_until.get(instance, deadline))
         self._next_expiry = min(self._next_expiry, deadline)
 
-    def clear(self, instance: str) -> None:
+    def clear_suspicion(self, instance: str) -> None:
         """End a suspicion: the upstream answered, or the suspicion expired."""
         self._note_change(instance, self._suspect_until.pop(instance, None) is not None)
         self._lost.discard(instance)
 
-    def note_pace(self, instance: str, pace: float) -> None:
+    def record_pace(self, instance: str, pace: float) -> None:
         """Record the pace that an upstream reported; 1 is its usual pace, 2 is half as fast."""
         known, _ = self._paces.get(instance, (1.0, 0.0))
         self._note_change(instance, abs(pace - known) > MIN_PACE_CHANGE)
@@ -322,7 +322,7 @@
         self._paces[instance] = (pace, deadline)
         self._next_expiry = min(self._next_expiry, deadline)
 
-    def is_suspect(self, instance: str) -> bool:
+    def is_suspected(self, instance: str) -> bool:
         """Return whether an upstream is suspected."""
         self._expire()
         return instance in self._suspect_until
@@ -406,11 +406,11 @@
         self._host_cache.pop(instance, None)
         self._changes += counts
 
-    def begin(self, instance: str) -> None:
+    def begin_request(self, instance: str) -> None:
         """Count a request in flight."""
         self._in_flight[instance] += 1
 
-    def end(self, instance: str) -> None:
+    def end_request(self, instance: str) -> None:
         """Stop counting a request in flight."""
         self._in_flight[instance] -= 1
         if self._in_flight[instance] <= 0:
@@ -420,7 +420,7 @@
         """Return the number of this process's requests in flight to an upstream."""
         return self._in_flight[instance]
 
-    def note(self, instance: str, failed: bool) -> None:
+    def record_outcome(self, instance: str, failed: bool) -> None:
         """Record whether a request to an upstream failed."""
         if instance in self._rows:
             self._failures.setdefault(instance, FailureShare()).note(failed, self._clock())
--- a/deckcourse/layers/healer.py
+++ b/deckcourse/layers/healer.py
@@ -145,7 +145,7 @@
 
     def _groups(self, model: ModelSpec, now: float) -> tuple[Group, ...]:
         """Return the groups of the upstreams, computed again only after a change."""
-        changes = self._upstreams.changes
+        changes = self._upstreams.change_count
         if self._cached_groups is None or self._cached_groups[:2] != (changes, model):
             hosts = self._upstreams.layer_hosts(self._service)
             self._update_hosts(hosts, now)
@@ -191,7 +191,7 @@
     async def _plan(self, model: ModelSpec, group: Group, now: float) -> None:
         pending = {name: (each.first, each.end) for name, each in self._pending.items()}
         rested = now >= self._improve_after.get(group.name, 0.0)
-        plan_input = _PlanInput(model, group, pending, self._upstreams.settled, rested)
+        plan_input = _PlanInput(model, group, pending, self._upstreams.is_settled, rested)
         if plan_input == self._satisfied_inputs.get(group.name):
             self._needed_since.pop(group.name, None)
             return
--- a/deckcourse/platform/runners.py
+++ b/deckcourse/platform/runners.py
@@ -16,7 +16,7 @@
     PulseReading,
     StallReport,
 )
-from deckcourse.gateway.upstream import StartNews, Upstream
+from deckcourse.gateway.upstream import StartOrder, Upstream
 from deckcourse.gateway.upstream_notice import UpstreamNotice
 from deckcourse.http1.client import (
     NAMELESS,
@@ -102,15 +102,15 @@
     def __init__(self, pool: ConnectionPool) -> None:
         self._pool = pool
         self._answer_times = AnswerTimes()
-        self._judge_start: Callable[[Upstream, int], StartNews] = (
-            lambda asked, start: StartNews.SAME
+        self._judge_start: Callable[[Upstream, int], StartOrder] = (
+            lambda asked, start: StartOrder.SAME
         )
         self._admit: Callable[[str, Purpose], Awaitable[bool]] = (
             lambda instance, purpose: _admit_all()
         )
         self._on_notice: NoticeListener = lambda instance, notice, sent_at, is_question: None
 
-    def judge_starts(self, judge: Callable[[Upstream, int], StartNews]) -> None:
+    def judge_starts(self, judge: Callable[[Upstream, int], StartOrder]) -> None:
         """Register the callback that compares a reply's start time with the queried incarnation."""
         self._judge_start = judge
 
@@ -132,9 +132,9 @@
             now = trio.current_time()
             self._answer_times.record_timeout(upstream.instance, wait.seconds, now)
 
-    def _start_news(self, asked: Upstream, born: int | UnsetType) -> StartNews:
+    def _start_news(self, asked: Upstream, born: int | UnsetType) -> StartOrder:
         """Return which incarnation replied; without a start time it counts as the queried one."""
-        return StartNews.SAME if born is UNSET else self._judge_start(asked, born)
+        return StartOrder.SAME if born is UNSET else self._judge_start(asked, born)
 
     async def place(self, upstream: Upstream, assignment: Assignment, orders: int) -> OrderResult:
         """Order the assigned layers; accepted if the runner has taken `orders` orders so far."""
@@ -227,10 +227,10 @@
                     has_replied = True
                     continue
                 incarnation = self._start_news(upstream, report.born)
-                if incarnation is StartNews.NEWER:
+                if incarnation is StartOrder.NEWER:
                     return PulseReading(Pulse.DEAD)
                 return PulseReading(
-                    Pulse.ALIVE, report.pace if incarnation is StartNews.SAME else 1.0
+                    Pulse.ALIVE, report.pace if incarnation is StartOrder.SAME else 1.0
                 )
             return PulseReading(Pulse.ALIVE if has_replied else Pulse.DEAD)
         return PulseReading(Pulse.ALIVE if has_replied else Pulse.SILENT)
@@ -278,7 +278,7 @@
         order_answer = decode_message(answer[1], OrderAnswer)
         if (
             order_answer is not None
-            and self._start_news(upstream, order_answer.born) is not StartNews.SAME
+            and self._start_news(upstream, order_answer.born) is not StartOrder.SAME
         ):
             return None
         return answer
@@ -345,7 +345,7 @@
         if answer is None or answer[0] != 200:
             return None
         report = decode_message(answer[1], Report)
-        if report is None or self._start_news(upstream, report.born) is not StartNews.SAME:
+        if report is None or self._start_news(upstream, report.born) is not StartOrder.SAME:
             return None
         return report
 
@@ -404,7 +404,7 @@
             return
         order_answer = decode_message(content, OrderAnswer)
         born = order_answer.born if order_answer is not None else UNSET
-        if self._start_news(asked, born) is StartNews.SAME:
+        if self._start_news(asked, born) is StartOrder.SAME:
             self._on_notice(asked.instance, notice, sent_at, True)
 
 
--- a/features/gateway_world.py
+++ b/features/gateway_world.py
@@ -131,8 +131,8 @@
         """Return whether a runner serves no streams, also because it restarted meanwhile."""
         return runner.dead or runner.holds_up or self.runners.get(runner.instance) is not runner
 
-    def is_suspect(self, instance):
-        return self.node.gateway.context.upstreams.is_suspect(instance)
+    def is_suspected(self, instance):
+        return self.node.gateway.context.upstreams.is_suspected(instance)
 
     def address_without_layers(self, path):
         """Return the first address on a path that lacks its layers, empty if none does."""
--- a/features/mutants_gateway.py
+++ b/features/mutants_gateway.py
@@ -23,7 +23,7 @@
 from deckcourse.decision_log import DecisionLog
 from deckcourse.gateway.active_stream import ActiveStream
 from deckcourse.gateway.events import Event, EventReader
-from deckcourse.gateway.known_starts import KnownStarts
+from deckcourse.gateway.known_starts import KnownIncarnations
 from deckcourse.gateway.lapse_check import LapseCheck
 from deckcourse.gateway.lookup import ServiceCall
 from deckcourse.gateway.node import GatewayNode
@@ -33,7 +33,7 @@
 from deckcourse.gateway.stream import StreamCall
 from deckcourse.gateway.stream_retries import StreamRetries
 from deckcourse.gateway.traffic_share import TrafficShare
-from deckcourse.gateway.upstream import StartNews
+from deckcourse.gateway.upstream import StartOrder
 from deckcourse.gateway.upstreams import UpstreamTable
 from deckcourse.http1.client import ConnectionPool, UpstreamConnection
 from deckcourse.http1.message import ConnectionLostError, FailureKind
@@ -115,7 +115,7 @@
     def take(self, desired):
         self._desired = desired
 
-    GatewayNode._take_desired = take
+    GatewayNode._apply_desired = take
 
 
 def no_lapse_grace():
@@ -130,13 +130,14 @@
 
 
 def nobody_asks_the_lapsed():
-    LapseCheck._ask_new = lambda self, nursery: None
+    LapseCheck._probe_new = lambda self, nursery: None
 
 
 def leaving_counts_not():
     original = UpstreamTable.layer_hosts
     UpstreamTable.layer_hosts = lambda self, service: tuple(
-        replace(each, usable=not self.is_suspect(each.instance)) for each in original(self, service)
+        replace(each, usable=not self.is_suspected(each.instance))
+        for each in original(self, service)
     )
 
 
@@ -335,11 +336,11 @@
 
 
 def older_starts_come_back():
-    KnownStarts.note = lambda self, name, start: None
+    KnownIncarnations.set_newest = lambda self, name, start: None
 
 
 def any_start_answers():
-    RunnerControl._start_news = lambda self, asked, born: StartNews.SAME
+    RunnerControl._start_news = lambda self, asked, born: StartOrder.SAME
 
 
 def ended_starts_keep_streams():
@@ -347,13 +348,13 @@
 
 
 def ended_starts_keep_connections():
-    original = GatewayNode._note_ended
+    original = GatewayNode._on_incarnation_ended
 
     def note_ended(self, older):
         with patch.object(ConnectionPool, "forget"):
             original(self, older)
 
-    GatewayNode._note_ended = note_ended
+    GatewayNode._on_incarnation_ended = note_ended
 
 
 GATEWAY = ("gateway",)
--- a/features/mutants_rates.py
+++ b/features/mutants_rates.py
@@ -48,7 +48,7 @@
 
 
 def throttled_upstreams_are_chosen():
-    UpstreamTable.may_begin = UpstreamTable.accepts
+    UpstreamTable.is_available = UpstreamTable.accepts
 
 
 def a_stall_question_without_token_counts_as_unanswered():
--- a/features/notice_happenings.py
+++ b/features/notice_happenings.py
@@ -44,7 +44,7 @@
 async def suspected(site, name):
     table(site).suspect(name, 1.0, lost=True)
     await trio.sleep(0.1)
-    table(site).clear(name)
+    table(site).clear_suspicion(name)
 
 
 async def starts_again(site, name):
--- a/features/steps/gateway_fault_steps.py
+++ b/features/steps/gateway_fault_steps.py
@@ -114,7 +114,7 @@
             nursery.start_soon(fall_silent)
             context.got = await site.ask()
         await trio.sleep(0.5)
-        context.suspect = [each for each in "x1 x2 y1 y2".split() if site.is_suspect(each)]
+        context.suspect = [each for each in "x1 x2 y1 y2".split() if site.is_suspected(each)]
 
     context.site.play(story)
 
--- a/features/steps/suspended_steps.py
+++ b/features/steps/suspended_steps.py
@@ -146,7 +146,7 @@
     site.node.gateway.context.upstreams.suspect("p1", 4.0)
     suspend(site.clock)
     await trio.sleep(STORE_CONTACT_SECONDS)
-    if site.is_suspect("p1"):
+    if site.is_suspected("p1"):
         return Got()
     return await site.ask("again", name="r2")
 
--- a/features/token_world.py
+++ b/features/token_world.py
@@ -94,7 +94,10 @@
         return None
 
     def retry_at(self):
-        return self.upstreams.first_end([UPSTREAM]) or trio.current_time() + DEFAULT_PAUSE_SECONDS
+        return (
+            self.upstreams.first_accepts_at([UPSTREAM])
+            or trio.current_time() + DEFAULT_PAUSE_SECONDS
+        )
 
 
 class TokenWorld:
