--- a/deckcourse/gateway/active_stream.py
+++ b/deckcourse/gateway/active_stream.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from deckcourse.gateway.crash_watch import RunStart
+from deckcourse.gateway.crash_watch import AttemptStart
 from deckcourse.layers.model import ModelSpec
 from deckcourse.layers.paths import LayerPath
 
@@ -67,7 +67,7 @@
     blocking_instance: str = ""
     is_moving: bool = False
     has_ended: bool = False
-    execution: RunStart = RunStart()
+    execution: AttemptStart = AttemptStart()
     next_move_at: float = 0.0
     reserve_retry: Callable[[], bool] = lambda: False
     interruption: Interruption | None = None
--- a/deckcourse/gateway/calls.py
+++ b/deckcourse/gateway/calls.py
@@ -67,7 +67,7 @@
       admitted: the request.
       has_run: whether an upstream may have executed it while this call was handled.
     """
-    until = context.crashes.refused_until(admitted)
+    until = context.crashes.quarantined_until(admitted)
     if until is None:
         return None
     message = "upstreams crashed while executing this request"
--- a/deckcourse/gateway/crash_watch.py
+++ b/deckcourse/gateway/crash_watch.py
@@ -20,7 +20,7 @@
 from deckcourse.peers.crash import Crash
 from deckcourse.peers.gossip import PeerGossip
 
-__all__ = ["CrashWatch", "RunStart"]
+__all__ = ["CrashWatch", "AttemptStart"]
 
 # Bound on the queue of broken attempts, far above the number that break off together.
 MAX_QUEUED_BREAKS = 1024
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True)
-class RunStart:
+class AttemptStart:
     """The start of an attempt at an upstream.
 
     `at` is its time on trio's clock, `known_crashes` the crash count of the request at that time.
@@ -61,7 +61,7 @@
     """
 
     identity: str
-    start: RunStart
+    start: AttemptStart
     upstream: Upstream
     has_layers: bool
     broke_at: float
@@ -116,7 +116,7 @@
         self._crashed_at: dict[str, float] = {}
         gossip.share_crashes(self._on_peer_crash, evidence.crashes)
 
-    def refused_until(self, admitted: Admitted) -> float | None:
+    def quarantined_until(self, admitted: Admitted) -> float | None:
         """Return when the quarantine of a request ends, on trio's clock; None if it may run."""
         # The usual case: no suspect requests at all.
         if not self._evidence:
@@ -143,7 +143,7 @@
             self._book.remove(identity)
         return was_suspect
 
-    def known_ends(self, admitted: Admitted) -> int:
+    def crash_count(self, admitted: Admitted) -> int:
         """Return the number of crashes in the chain of a request."""
         return self._evidence.crash_count(admitted.identity) if self._evidence else 0
 
@@ -151,7 +151,7 @@
         """Return the upstreams with suspect requests in flight that have had no event yet."""
         return frozenset(self._trials)
 
-    async def wait_for_turn(self, admitted: Admitted, instance: str) -> bool:
+    async def wait_for_trial(self, admitted: Admitted, instance: str) -> bool:
         """If a request is suspect, wait while another suspect is in flight at its upstream.
 
         If the upstream crashed while it ran both, the crash would be evidence against neither.
@@ -160,32 +160,32 @@
           Whether it waited; if so, the caller must choose an upstream again.
         """
         trial = self._trials.get(instance)
-        if trial is None or not self.known_ends(admitted) or admitted.identity in trial.identities:
+        if trial is None or not self.crash_count(admitted) or admitted.identity in trial.identities:
             return False
         with trio.move_on_after(MAX_TRIAL_WAIT_SECONDS):
             await trial.finished.wait()
         return True
 
-    async def wait_behind_others(self, admitted: Admitted, instance: str) -> None:
+    async def wait_for_preceding_suspects(self, admitted: Admitted, instance: str) -> None:
         """Wait until the suspects of the same crash that precede a request have been retried.
 
         They may be at other processes. Retried at once, all would meet at the next upstream, and
         whichever of them crashed it, all would be suspect for the second time.
         """
-        if not self.known_ends(admitted):
+        if not self.crash_count(admitted):
             return
         await trio.sleep(REPORT_WAIT_SECONDS)
         rank = min(MAX_RANK, self._evidence.rank(admitted.identity, instance))
         await trio.sleep(rank * TRIAL_SECONDS)
 
-    def begin_run(self, admitted: Admitted, instance: str) -> RunStart:
+    def begin_attempt(self, admitted: Admitted, instance: str) -> AttemptStart:
         """Record that a request is sent to an upstream; return the start of the attempt."""
-        known_crashes = self.known_ends(admitted)
+        known_crashes = self.crash_count(admitted)
         if known_crashes:
             self._trials.setdefault(instance, _Trial()).identities.add(admitted.identity)
-        return RunStart(trio.current_time(), known_crashes)
+        return AttemptStart(trio.current_time(), known_crashes)
 
-    def end_run(self, admitted: Admitted, instance: str) -> None:
+    def end_attempt(self, admitted: Admitted, instance: str) -> None:
         """End the trial of a request at an upstream: its outcome is known."""
         trial = self._trials.get(instance)
         if trial is None or admitted.identity not in trial.identities:
@@ -195,7 +195,7 @@
             del self._trials[instance]
             trial.finished.set()
 
-    def note_ran(self, admitted: Admitted, instance: str) -> None:
+    def record_success(self, admitted: Admitted, instance: str) -> None:
         """Record that an upstream ran a request and is alive, which clears the request."""
         # The response shows that the upstream had not ended when earlier attempts broke off.
         self._unresolved.pop(instance, None)
@@ -207,7 +207,9 @@
             self._log("crash-cleared", identity=admitted.identity)
             self._book.remove(admitted.identity)
 
-    async def note_broken(self, admitted: Admitted, upstream: Upstream, start: RunStart) -> None:
+    async def record_broken_attempt(
+        self, admitted: Admitted, upstream: Upstream, start: AttemptStart
+    ) -> None:
         """Record an attempt that broke off before its first event; return after the probe.
 
         Args:
--- a/deckcourse/gateway/lookup.py
+++ b/deckcourse/gateway/lookup.py
@@ -15,7 +15,7 @@
     within_deadline,
 )
 from deckcourse.gateway.context import GatewayContext
-from deckcourse.gateway.crash_watch import RunStart
+from deckcourse.gateway.crash_watch import AttemptStart
 from deckcourse.gateway.dialect import Dispatch
 from deckcourse.gateway.rate_gate import SendingToken
 from deckcourse.gateway.upstream import Upstream
@@ -106,7 +106,7 @@
             if not self._context.may_send():
                 message = "the configuration may be out of date"
                 return NotRun(NotRunReason.NOT_READY, message, NOT_READY_RETRY_AFTER_SECONDS)
-            if await self._context.crashes.wait_for_turn(self._admitted, upstream.instance):
+            if await self._context.crashes.wait_for_trial(self._admitted, upstream.instance):
                 if attempts:
                     budget.give_back()
                 continue
@@ -129,7 +129,7 @@
                     break
                 self._context.count(f"retry.{RetryReason.REPLY_LOST}")
                 crashes = self._context.crashes
-                await crashes.wait_behind_others(self._admitted, upstream.instance)
+                await crashes.wait_for_preceding_suspects(self._admitted, upstream.instance)
         return await self._give_up(last_failure)
 
     def _may_execute_again(self) -> bool:
@@ -194,7 +194,7 @@
     ) -> _Response | _Refused | _Lost | Withheld:
         context = self._context
         context.upstreams.begin_request(upstream.instance)
-        run = context.crashes.begin_run(self._admitted, upstream.instance)
+        run = context.crashes.begin_attempt(self._admitted, upstream.instance)
         max_idle_seconds = (
             MAX_IDLE_SECONDS if self._admitted.route.repeatable else MAX_IDLE_ONCE_SECONDS
         )
@@ -207,7 +207,7 @@
         except ConnectionLostError as failure:
             result = await self._on_failure(upstream, failure, run)
         finally:
-            context.crashes.end_run(self._admitted, upstream.instance)
+            context.crashes.end_attempt(self._admitted, upstream.instance)
             context.upstreams.end_request(upstream.instance)
         if isinstance(result, Withheld):
             return result
@@ -218,12 +218,12 @@
         return result
 
     async def _on_failure(
-        self, upstream: Upstream, failure: ConnectionLostError, run: RunStart
+        self, upstream: Upstream, failure: ConnectionLostError, run: AttemptStart
     ) -> _Refused | _Lost:
         if failure.kind is FailureKind.UNSENT:
             self._context.pool.forget(upstream.address)
             return _Refused(RetryReason.UNREACHABLE, failure.message)
-        await self._context.crashes.note_broken(self._admitted, upstream, run)
+        await self._context.crashes.record_broken_attempt(self._admitted, upstream, run)
         return _Lost(failure.message)
 
     async def _exchange(
@@ -250,7 +250,7 @@
             return _Refused(RetryReason.REFUSED, f"upstream answered {reply.status}")
         refuse_joined(reply, body)
         if reply.status < SERVER_ERROR:
-            self._context.crashes.note_ran(self._admitted, upstream.instance)
+            self._context.crashes.record_success(self._admitted, upstream.instance)
         return _Response(reply.status, end_to_end(reply.headers), body)
 
     async def _deliver(self, response: _Response) -> Outcome:
--- a/deckcourse/gateway/stream.py
+++ b/deckcourse/gateway/stream.py
@@ -140,7 +140,7 @@
                 return refusal
             if not self._context.may_send():
                 return self._give_up(last_failure, NotRunReason.NOT_READY, FULL_RETRY_AFTER_SECONDS)
-            if await self._context.crashes.wait_for_turn(self._admitted, path.parts[0].instance):
+            if await self._context.crashes.wait_for_trial(self._admitted, path.parts[0].instance):
                 if attempts:
                     self._retries.reserve_unused()
                 continue
@@ -162,7 +162,7 @@
                 break
             if isinstance(result, _Broken) and not self._has_received_events:
                 first = path.parts[0].instance
-                await self._context.crashes.wait_behind_others(self._admitted, first)
+                await self._context.crashes.wait_for_preceding_suspects(self._admitted, first)
         return self._give_up(last_failure, NotRunReason.UPSTREAM_REFUSED, FULL_RETRY_AFTER_SECONDS)
 
     def _refuse_before_execution(
@@ -226,7 +226,7 @@
         model = self._admitted.service.model
         trials = self._context.crashes.trial_upstreams()
         choose = self._choice.choose
-        if self._context.crashes.known_ends(self._admitted):
+        if self._context.crashes.crash_count(self._admitted):
             choose = self._choice.choose_least_busy
         path = choose(model, avoid | trials) if trials else None
         return path or choose(model, avoid)
@@ -266,7 +266,7 @@
             return await self._on_interruption(stream)
         finally:
             context.monitor.discard(stream)
-            context.crashes.end_run(self._admitted, first.instance)
+            context.crashes.end_attempt(self._admitted, first.instance)
             context.upstreams.end_request(first.instance)
         if isinstance(result, _Finished | _Broken):
             context.upstreams.record_outcome(first.instance, isinstance(result, _Broken))
@@ -308,7 +308,9 @@
         """Report an interrupted execution unless events came, which clear the request."""
         upstream = self._context.upstreams.last_known(stream.path.parts[0].instance)
         if upstream is not None and not stream.has_events and not self._has_received_events:
-            await self._context.crashes.note_broken(self._admitted, upstream, stream.execution)
+            await self._context.crashes.record_broken_attempt(
+                self._admitted, upstream, stream.execution
+            )
 
     async def _exchange(
         self, connection: UpstreamConnection, stream: ActiveStream, token: SendingToken
@@ -327,7 +329,7 @@
         )
         stream.progress_at = trio.current_time()
         self._executions += 1
-        stream.execution = self._context.crashes.begin_run(admitted, dispatch.instance)
+        stream.execution = self._context.crashes.begin_attempt(admitted, dispatch.instance)
         self._retries.note_execution(dispatch.instance)
         self._choice.watch.note_sent(dispatch.instance)
         try:
@@ -396,8 +398,8 @@
         if not self._has_received_events:
             self._has_received_events = True
             first = stream.path.parts[0].instance
-            self._context.crashes.note_ran(self._admitted, first)
-            self._context.crashes.end_run(self._admitted, first)
+            self._context.crashes.record_success(self._admitted, first)
+            self._context.crashes.end_attempt(self._admitted, first)
 
     async def _finish_response(self, reply: UpstreamReply, trailing: bytes) -> None:
         await self._start_response(reply)
--- a/features/steps/crash_evidence_steps.py
+++ b/features/steps/crash_evidence_steps.py
@@ -80,13 +80,13 @@
 
         async def run(identity, began, broke):
             await trio.sleep(began)
-            start = watch.begin_run(admitted(identity), UPSTREAM.instance)
+            start = watch.begin_attempt(admitted(identity), UPSTREAM.instance)
             await trio.sleep(broke - began)
-            await watch.note_broken(admitted(identity), UPSTREAM, start)
+            await watch.record_broken_attempt(admitted(identity), UPSTREAM, start)
 
         async def answer(at):
             await trio.sleep(at)
-            watch.note_ran(admitted("another"), UPSTREAM.instance)
+            watch.record_success(admitted("another"), UPSTREAM.instance)
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(watch.run)
