--- a/deckcourse/gateway/dialect.py
+++ b/deckcourse/gateway/dialect.py
@@ -125,7 +125,7 @@
     """Applies the notice of an instance in the headers of a response."""
 
     def __call__(
-        self, instance: str, notice: UpstreamNotice, sent_at: float, is_question: bool
+        self, instance: str, notice: UpstreamNotice, sent_at: float, is_control: bool
     ) -> None:
         """Apply the notice; see `NoticeIntake.apply`."""
 
--- a/deckcourse/gateway/lookup.py
+++ b/deckcourse/gateway/lookup.py
@@ -187,7 +187,7 @@
         try:
             return await self._send(upstream, token)
         finally:
-            await self._context.rates.give_back(token)
+            await self._context.rates.return_token(token)
 
     async def _send(
         self, upstream: Upstream, token: SendingToken
--- a/deckcourse/gateway/notice_intake.py
+++ b/deckcourse/gateway/notice_intake.py
@@ -32,7 +32,7 @@
         self._log = log
 
     def apply(
-        self, instance: str, notice: UpstreamNotice, sent_at: float, is_question: bool = False
+        self, instance: str, notice: UpstreamNotice, sent_at: float, is_control: bool = False
     ) -> None:
         """Apply the notice in an upstream's response.
 
@@ -40,14 +40,14 @@
           instance: the upstream.
           notice: the parsed headers.
           sent_at: when the request was sent, on trio's clock.
-          is_question: whether it responds to a query or an order rather than a caller's request.
+          is_control: whether it responds to a query or an order rather than a caller's request.
         """
         if notice.anonymous:
             return
         if notice.rate_limit is not None or not notice.malformed:
-            self._limits.record(instance, notice.rate_limit, sent_at, is_question)
+            self._limits.record(instance, notice.rate_limit, sent_at, is_control)
         if self._limits.rate_of(instance) is not None:
-            self._count("limited.question" if is_question else "limited.request")
+            self._count("limited.question" if is_control else "limited.request")
         if notice == NOTHING_ASKED:
             return
         if notice.malformed:
--- a/deckcourse/gateway/rate_gate.py
+++ b/deckcourse/gateway/rate_gate.py
@@ -177,7 +177,7 @@
         token.spend()
         return True
 
-    async def give_back(self, token: SendingToken) -> None:
+    async def return_token(self, token: SendingToken) -> None:
         """Return a token that was not spent, if it is still valid."""
         if not token.is_valid:
             return
--- a/deckcourse/gateway/stream.py
+++ b/deckcourse/gateway/stream.py
@@ -239,7 +239,7 @@
         try:
             return await self._attempt(path, token)
         finally:
-            await self._context.rates.give_back(token)
+            await self._context.rates.return_token(token)
 
     async def _attempt(self, path: LayerPath, token: SendingToken) -> _AttemptResult:
         context = self._context
--- a/deckcourse/platform/runners.py
+++ b/deckcourse/platform/runners.py
@@ -108,7 +108,7 @@
         self._admit: Callable[[str, Purpose], Awaitable[bool]] = (
             lambda instance, purpose: _admit_all()
         )
-        self._on_notice: NoticeListener = lambda instance, notice, sent_at, is_question: None
+        self._on_notice: NoticeListener = lambda instance, notice, sent_at, is_control: None
 
     def judge_starts(self, judge: Callable[[Upstream, int], StartOrder]) -> None:
         """Register the callback that compares a reply's start time with the queried incarnation."""
--- a/features/mutants_rates.py
+++ b/features/mutants_rates.py
@@ -28,10 +28,10 @@
 
 
 def unused_tokens_are_lost():
-    async def give_back(self, token):
+    async def return_token(self, token):
         token.spend()
 
-    RateGate.give_back = give_back
+    RateGate.return_token = return_token
 
 
 def processes_that_start_know_no_limits():
--- a/features/token_world.py
+++ b/features/token_world.py
@@ -85,7 +85,7 @@
             return self.retry_at()
         await trio.sleep(world.random.uniform(0.0, MAX_CONNECT_SECONDS))
         if world.drops_token(self):
-            await self.gate.give_back(token)
+            await self.gate.return_token(token)
         elif self.gate.may_send(token):
             sent_at = trio.current_time()
             world.sent.append((sent_at, self.name))
