--- a/deckcourse/gateway/crash_check.py
+++ b/deckcourse/gateway/crash_check.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from deckcourse.gateway.dialect import Pulse, StreamControl
+from deckcourse.gateway.dialect import ProbeResult, StreamControl
 from deckcourse.gateway.upstream import Upstream
 from deckcourse.gateway.upstreams import UpstreamTable
 
@@ -27,7 +27,7 @@
     """A probe in progress, and its result."""
 
     done: trio.Event = field(default_factory=trio.Event)
-    result: Pulse = Pulse.SILENT
+    result: ProbeResult = ProbeResult.SILENT
 
 
 class CrashCheck:
@@ -47,7 +47,7 @@
         self._log = log
         self._probes: dict[str, _Probe] = {}
 
-    async def probe(self, upstream: Upstream, has_layers: bool) -> Pulse:
+    async def probe(self, upstream: Upstream, has_layers: bool) -> ProbeResult:
         """Probe an upstream; return DEAD if it has ended.
 
         Args:
@@ -56,7 +56,7 @@
         """
         instance = upstream.instance
         if self._upstreams.has_ended(instance):
-            return Pulse.DEAD
+            return ProbeResult.DEAD
         probe = self._probes.get(instance)
         if probe is None:
             probe = self._probes[instance] = _Probe()
@@ -67,14 +67,14 @@
     async def _send_probe(self, upstream: Upstream, has_layers: bool, probe: _Probe) -> None:
         try:
             if has_layers:
-                reply = await self._control.pulse(upstream, PROBE_TIMEOUT_SECONDS)
-                probe.result = reply.pulse
+                reply = await self._control.probe(upstream, PROBE_TIMEOUT_SECONDS)
+                probe.result = reply.result
             else:
-                probe.result = await self._control.reach(upstream, PROBE_TIMEOUT_SECONDS)
+                probe.result = await self._control.probe_connection(upstream, PROBE_TIMEOUT_SECONDS)
         finally:
             del self._probes[upstream.instance]
             probe.done.set()
-        if probe.result is Pulse.DEAD:
+        if probe.result is ProbeResult.DEAD:
             self._upstreams.suspect(upstream.instance, SUSPICION_TTL_SECONDS, lost=True)
         self._log(
             "broke-off",
--- a/deckcourse/gateway/crash_watch.py
+++ b/deckcourse/gateway/crash_watch.py
@@ -14,7 +14,7 @@
 from deckcourse.gateway.crash_book import CrashBook
 from deckcourse.gateway.crash_check import CrashCheck
 from deckcourse.gateway.crash_evidence import CrashEvidence
-from deckcourse.gateway.dialect import Pulse
+from deckcourse.gateway.dialect import ProbeResult
 from deckcourse.gateway.quarantine_view import QuarantineView, quarantine_of
 from deckcourse.gateway.upstream import Upstream
 from deckcourse.peers.crash import Crash
@@ -256,9 +256,9 @@
         crash: Crash | None = None
         try:
             result = await self._check.probe(broken.upstream, broken.has_layers)
-            if result is Pulse.DEAD:
+            if result is ProbeResult.DEAD:
                 crash = self._record_crash(broken)
-            elif result is Pulse.SILENT:
+            elif result is ProbeResult.SILENT:
                 self._defer(broken)
         finally:
             broken.probed.set()
--- a/deckcourse/gateway/dialect.py
+++ b/deckcourse/gateway/dialect.py
@@ -20,8 +20,8 @@
     "LoadReport",
     "MoveResult",
     "NoticeListener",
-    "Pulse",
-    "PulseReading",
+    "ProbeResult",
+    "ProbeReply",
     "ReplyFacts",
     "StallReport",
     "StreamControl",
@@ -37,16 +37,19 @@
     host: str
     path: str
     key: str
-    patience: float | None
+    timeout_seconds: float | None
     last_event: int | None
 
 
 @dataclass(frozen=True)
 class Dispatch:
-    """One attempt of a request at an upstream; `seconds` is the time left until its deadline."""
+    """One attempt of a request at an upstream.
+
+    `remaining_seconds` is the time left until its deadline.
+    """
 
     instance: str
-    seconds: float
+    remaining_seconds: float
     account: str = ""
     priority: int | None = None
     path: LayerPath | None = None
@@ -57,14 +60,14 @@
 class ReplyFacts:
     """The parsed headers of a response.
 
-    `not_run` is set if the upstream guarantees that it did not execute the request. `at_fault` is
-    the address of the upstream that could not execute its stage, empty for the one addressed.
-    `notice` is the notice of the upstream that responded.
+    `not_executed` is set if the upstream guarantees that it did not execute the request.
+    `failed_address` is the address of the upstream that could not execute its stage, empty for the
+    one addressed. `notice` is the notice of the upstream that responded.
     """
 
     request_id: str
-    not_run: bool
-    at_fault: str
+    not_executed: bool
+    failed_address: str
     notice: UpstreamNotice = NOTHING_ASKED
 
 
@@ -72,33 +75,33 @@
 class StallReport:
     """The stalled requests at the first stage of their paths, with their blocking upstreams.
 
-    `waiting_for` maps request ids to addresses. `pace` is that of the first stage, as in
-    `PulseReading`. `asked` is false if its rate limit left no token for the query.
+    `blocking_addresses` maps request ids to addresses. `pace` is that of the first stage, as in
+    `ProbeReply`. `was_sent` is false if its rate limit left no token for the query.
     """
 
-    waiting_for: Mapping[str, str]
+    blocking_addresses: Mapping[str, str]
     pace: float = 1.0
-    asked: bool = True
+    was_sent: bool = True
 
 
-class Pulse(StrEnum):
+class ProbeResult(StrEnum):
     """The result of a probe.
 
     ALIVE if the upstream replied, DEAD if its machine refused the connection, SILENT for no reply,
-    UNASKED if its rate limit left no token for the probe.
+    NOT_SENT if its rate limit left no token for the probe.
     """
 
     ALIVE = "alive"
     DEAD = "dead"
     SILENT = "silent"
-    UNASKED = "unasked"
+    NOT_SENT = "unasked"
 
 
 @dataclass(frozen=True)
-class PulseReading:
+class ProbeReply:
     """An upstream's reply to a probe; `pace` is its slowdown factor, 1 for its usual speed."""
 
-    pulse: Pulse
+    result: ProbeResult
     pace: float = 1.0
 
 
@@ -117,7 +120,7 @@
 
     MOVED = "moved"
     UNKNOWN_REQUEST = "unknown-request"
-    PART_MISSING = "part-missing"
+    STAGE_MISSING = "part-missing"
     UNANSWERED = "unanswered"
 
 
@@ -149,25 +152,25 @@
     A reply from another incarnation than the addressed one doesn't count as a reply.
     """
 
-    def judge_starts(self, judge: Callable[[Upstream, int], StartOrder]) -> None:
+    def set_start_observer(self, judge: Callable[[Upstream, int], StartOrder]) -> None:
         """Register the callback for the start time in each reply, also to orders."""
 
-    def listen(self, listener: NoticeListener) -> None:
+    def set_notice_listener(self, listener: NoticeListener) -> None:
         """Register the listener for notices in replies to queries and orders."""
 
-    def admit(self, admission: Callable[[str, Purpose], Awaitable[bool]]) -> None:
+    def set_admission_check(self, admission: Callable[[str, Purpose], Awaitable[bool]]) -> None:
         """Register the admission check for queries and orders."""
 
-    async def stalled(self, upstream: Upstream) -> StallReport | None:
+    async def query_stalled(self, upstream: Upstream) -> StallReport | None:
         """Query the stalled requests whose first stage is an upstream; None if unanswered."""
 
-    async def load(self, upstream: Upstream) -> LoadReport | None:
+    async def query_load(self, upstream: Upstream) -> LoadReport | None:
         """Query the load of an upstream; None if unanswered."""
 
-    async def pulse(self, upstream: Upstream, seconds: float) -> PulseReading:
+    async def probe(self, upstream: Upstream, seconds: float) -> ProbeReply:
         """Probe an upstream with a query; DEAD if its machine refuses connections."""
 
-    async def reach(self, upstream: Upstream, seconds: float) -> Pulse:
+    async def probe_connection(self, upstream: Upstream, seconds: float) -> ProbeResult:
         """Probe an upstream by connecting only: it might run a query as a request.
 
         DEAD if its machine refuses connections, SILENT if a connection is closed at once: a proxy
--- a/deckcourse/gateway/gateway.py
+++ b/deckcourse/gateway/gateway.py
@@ -125,7 +125,10 @@
 
 
 def _timeout_seconds(caller: CallerRequest, route: RouteSpec) -> float:
-    return min(route.timeout, caller.patience if caller.patience is not None else route.timeout)
+    return min(
+        route.timeout,
+        caller.timeout_seconds if caller.timeout_seconds is not None else route.timeout,
+    )
 
 
 def _not_ready(message: str) -> NotRun:
--- a/deckcourse/gateway/load_watch.py
+++ b/deckcourse/gateway/load_watch.py
@@ -146,7 +146,7 @@
 
     async def _ask(self, upstream: Upstream) -> None:
         queried_at = trio.current_time()
-        load = await self._control.load(upstream)
+        load = await self._control.query_load(upstream)
         if load is None:
             return
         share = load.cache_used / load.cache_total if load.cache_total else 0.0
--- a/deckcourse/gateway/lookup.py
+++ b/deckcourse/gateway/lookup.py
@@ -245,7 +245,7 @@
             self._executions -= failure.kind is FailureKind.UNSENT
             raise
         body = await reply.whole_body()
-        if facts.not_run:
+        if facts.not_executed:
             self._executions -= 1
             return _Refused(RetryReason.REFUSED, f"upstream answered {reply.status}")
         refuse_joined(reply, body)
--- a/deckcourse/gateway/node.py
+++ b/deckcourse/gateway/node.py
@@ -94,10 +94,10 @@
         self._desired: DesiredState | None = None
         self._desired_changed = trio.Event()
         self._upstreams = UpstreamTable(trio.current_time, self._on_incarnation_ended)
-        ports.control.judge_starts(self._on_observed_start)
+        ports.control.set_start_observer(self._on_observed_start)
         self._rate_limits = RateLimitBook(trio.current_time, self._on_limit_change)
         notices = NoticeIntake(self._upstreams, self._rate_limits, counters.count, log)
-        ports.control.listen(notices.apply)
+        ports.control.set_notice_listener(notices.apply)
         self._path_choices: dict[str, PathChoice] = {}
         self._healers: dict[str, Healer] = {}
         self._plan_book = PlanBook(ports.table, identity.author)
@@ -127,7 +127,7 @@
             counters.count,
             log,
         )
-        ports.control.admit(self._rate_gate.admit)
+        ports.control.set_admission_check(self._rate_gate.admit)
         intake = RowIntake(
             rows,
             self._upstreams,
--- a/deckcourse/gateway/stalls.py
+++ b/deckcourse/gateway/stalls.py
@@ -12,7 +12,7 @@
 import trio
 
 from deckcourse.gateway.active_stream import ActiveStream, Interruption
-from deckcourse.gateway.dialect import MoveResult, Pulse, StreamControl
+from deckcourse.gateway.dialect import MoveResult, ProbeResult, StreamControl
 from deckcourse.gateway.path_choice import PathChoice
 from deckcourse.gateway.upstream import Upstream
 from deckcourse.gateway.upstreams import UpstreamTable
@@ -175,8 +175,8 @@
             query_state.next_at = trio.current_time() + query_state.interval
 
     async def _query_first(self, upstream: Upstream, query_state: _QueryState) -> None:
-        report = await self._control.stalled(upstream)
-        if report is not None and not report.asked:
+        report = await self._control.query_stalled(upstream)
+        if report is not None and not report.was_sent:
             return
         if report is None:
             query_state.unanswered += 1
@@ -186,12 +186,12 @@
         else:
             query_state.unanswered = 0
             self._upstreams.record_pace(upstream.instance, report.pace)
-            await self._handle_report(upstream, report.waiting_for, query_state)
+            await self._handle_report(upstream, report.blocking_addresses, query_state)
 
     async def _probe_later_stages(self, first: str) -> None:
         """Probe the upstreams behind a first stage that may block its stalled streams."""
         instances = self._find_possible_blockers(first)
-        lost: list[tuple[Upstream, Pulse]] = []
+        lost: list[tuple[Upstream, ProbeResult]] = []
         async with trio.open_nursery() as nursery:
             for upstream in self._due_for_probe(instances):
                 nursery.start_soon(self._probe, upstream, lost)
@@ -245,15 +245,15 @@
                 due.append(upstream)
         return due
 
-    async def _probe(self, upstream: Upstream, lost: list[tuple[Upstream, Pulse]]) -> None:
+    async def _probe(self, upstream: Upstream, lost: list[tuple[Upstream, ProbeResult]]) -> None:
         """Probe one upstream; append it to `lost` unless it answers."""
-        result = await self._control.pulse(upstream, PROBE_TIMEOUT_SECONDS)
-        if result.pulse is Pulse.SILENT:
-            result = await self._control.pulse(upstream, SECOND_PROBE_TIMEOUT_SECONDS)
-        if result.pulse is Pulse.ALIVE:
-            self._upstreams.record_pace(upstream.instance, result.pace)
-        elif result.pulse is not Pulse.UNASKED:
-            lost.append((upstream, result.pulse))
+        reply = await self._control.probe(upstream, PROBE_TIMEOUT_SECONDS)
+        if reply.result is ProbeResult.SILENT:
+            reply = await self._control.probe(upstream, SECOND_PROBE_TIMEOUT_SECONDS)
+        if reply.result is ProbeResult.ALIVE:
+            self._upstreams.record_pace(upstream.instance, reply.pace)
+        elif reply.result is not ProbeResult.NOT_SENT:
+            lost.append((upstream, reply.result))
 
     def _suspect(self, upstream: Upstream) -> None:
         self._upstreams.suspect(upstream.instance, SUSPICION_TTL_SECONDS)
@@ -268,12 +268,12 @@
         deadline = trio.current_time() + SUSPICION_TTL_SECONDS
         try:
             while trio.current_time() < deadline and self._upstreams.is_suspected(instance):
-                result = await self._control.pulse(upstream, CONFIRMING_PROBE_TIMEOUT_SECONDS)
-                if result.pulse is Pulse.ALIVE:
+                reply = await self._control.probe(upstream, CONFIRMING_PROBE_TIMEOUT_SECONDS)
+                if reply.result is ProbeResult.ALIVE:
                     self._upstreams.clear_suspicion(instance)
                     self._log("suspicion-ended", instance=instance, address=upstream.address)
                     return
-                if result.pulse is not Pulse.UNASKED:
+                if reply.result is not ProbeResult.NOT_SENT:
                     self._upstreams.suspect(instance, 0.0, lost=True)
                 await trio.sleep(CONFIRMING_PROBE_INTERVAL_SECONDS)
         finally:
@@ -317,7 +317,7 @@
                 self._log("stall-unknown-upstream", address=address)
             elif not self._upstreams.is_suspected(blocking.instance):
                 blocking_upstreams[blocking.instance] = blocking
-        lost: list[tuple[Upstream, Pulse]] = []
+        lost: list[tuple[Upstream, ProbeResult]] = []
         async with trio.open_nursery() as nursery:
             for blocking in blocking_upstreams.values():
                 nursery.start_soon(self._probe, blocking, lost)
@@ -415,7 +415,7 @@
             if result is MoveResult.MOVED:
                 return
             refusing = self._upstreams.at_address(at_fault, stream.service)
-            if result is not MoveResult.PART_MISSING or refusing is None:
+            if result is not MoveResult.STAGE_MISSING or refusing is None:
                 break
             avoid.add(refusing.instance)
         stream.interrupt(Interruption.NO_OTHER_PATH)
--- a/deckcourse/gateway/stream.py
+++ b/deckcourse/gateway/stream.py
@@ -343,7 +343,7 @@
         stream.is_waiting = False
         with stream.interruptible():
             body = await reply.whole_body()
-        if facts.not_run:
+        if facts.not_executed:
             self._executions -= 1
             self._retries.note_refused(stream.path.parts[0].instance)
             return self._on_refusal(stream, reply.status, facts)
@@ -361,8 +361,8 @@
     def _on_refusal(self, stream: ActiveStream, status: int, facts: ReplyFacts) -> _AttemptResult:
         """Record which upstream of the path refused: it is full, lost or lacks its layers."""
         refusing_instance = stream.path.parts[0].instance
-        if facts.at_fault:
-            row = self._context.upstreams.at_address(facts.at_fault, stream.service)
+        if facts.failed_address:
+            row = self._context.upstreams.at_address(facts.failed_address, stream.service)
             refusing_instance = row.instance if row is not None else refusing_instance
         self._avoided.add(refusing_instance)
         self._choice.note_full(refusing_instance)
--- a/deckcourse/platform/dialect.py
+++ b/deckcourse/platform/dialect.py
@@ -82,7 +82,7 @@
         if dispatch.last_event is not None:
             sent_headers = [each for each in sent_headers if each[0] != LAST_EVENT_ID]
             sent_headers.append((LAST_EVENT_ID, str(dispatch.last_event).encode()))
-        milliseconds = max(1, int(dispatch.seconds * 1000))
+        milliseconds = max(1, int(dispatch.remaining_seconds * 1000))
         sent_headers.append((DEADLINE_MS, str(milliseconds).encode()))
         sent_headers.append((EXPECTED_INSTANCE, runner_id(dispatch.instance).encode()))
         if dispatch.account:
--- a/deckcourse/platform/runners.py
+++ b/deckcourse/platform/runners.py
@@ -12,8 +12,8 @@
     LoadReport,
     MoveResult,
     NoticeListener,
-    Pulse,
-    PulseReading,
+    ProbeReply,
+    ProbeResult,
     StallReport,
 )
 from deckcourse.gateway.upstream import StartOrder, Upstream
@@ -96,7 +96,8 @@
     since it contains the order count, while a load or a stall may be slightly outdated.
 
     A runner may have restarted under its id since the call was made. The reply of another
-    incarnation is ignored, after its start time has been passed to the callback of `judge_starts`.
+    incarnation is ignored, after its start time has been passed to the callback of
+    `set_start_observer`.
     """
 
     def __init__(self, pool: ConnectionPool) -> None:
@@ -110,15 +111,15 @@
         )
         self._on_notice: NoticeListener = lambda instance, notice, sent_at, is_control: None
 
-    def judge_starts(self, judge: Callable[[Upstream, int], StartOrder]) -> None:
+    def set_start_observer(self, judge: Callable[[Upstream, int], StartOrder]) -> None:
         """Register the callback that compares a reply's start time with the queried incarnation."""
         self._judge_start = judge
 
-    def listen(self, listener: NoticeListener) -> None:
+    def set_notice_listener(self, listener: NoticeListener) -> None:
         """Register the listener for notices in replies to queries and orders."""
         self._on_notice = listener
 
-    def admit(self, admission: Callable[[str, Purpose], Awaitable[bool]]) -> None:
+    def set_admission_check(self, admission: Callable[[str, Purpose], Awaitable[bool]]) -> None:
         """Register the admission check for queries and orders."""
         self._admit = admission
 
@@ -163,59 +164,59 @@
             return None
         return LayerReport(report.sequence, held_range(report), report.utilization)
 
-    async def stalled(self, upstream: Upstream) -> StallReport | None:
+    async def query_stalled(self, upstream: Upstream) -> StallReport | None:
         """Return the stalled requests whose first stage is this runner, None without a reply."""
         try:
             report = await self._report(upstream)
         except _NotAdmittedError:
-            return StallReport({}, asked=False)
+            return StallReport({}, was_sent=False)
         if report is None:
             return None
         return StallReport({each.id: each.address for each in report.stalled}, report.pace)
 
-    async def load(self, upstream: Upstream) -> LoadReport | None:
+    async def query_load(self, upstream: Upstream) -> LoadReport | None:
         """Return a runner's load, None without a reply."""
         report = await self._report_if_admitted(upstream)
         if report is None:
             return None
         return LoadReport(report.running, report.queued, report.kvUsed, report.kvTotal)
 
-    async def pulse(self, upstream: Upstream, seconds: float) -> PulseReading:
+    async def probe(self, upstream: Upstream, seconds: float) -> ProbeReply:
         """Probe a runner with a query; DEAD if its machine refuses connections."""
         if not await self._admit(upstream.instance, Purpose.QUESTION):
-            return PulseReading(Pulse.UNASKED)
+            return ProbeReply(ProbeResult.NOT_SENT)
         seconds = self._timeout(seconds)
         wait = _TimedWait(seconds)
         reading = await self._probe_once(upstream, seconds)
-        if reading.pulse is Pulse.SILENT:
+        if reading.result is ProbeResult.SILENT:
             self._record_timeout(upstream, wait)
-        if reading.pulse is Pulse.SILENT and wait.process_was_paused:
+        if reading.result is ProbeResult.SILENT and wait.process_was_paused:
             if not await self._admit(upstream.instance, Purpose.QUESTION):
-                return PulseReading(Pulse.UNASKED)
+                return ProbeReply(ProbeResult.NOT_SENT)
             return await self._probe_once(upstream, seconds)
         return reading
 
-    async def reach(self, upstream: Upstream, seconds: float) -> Pulse:
+    async def probe_connection(self, upstream: Upstream, seconds: float) -> ProbeResult:
         """Probe a runner by opening a connection only: some runners would execute any request."""
         with trio.move_on_after(self._timeout(seconds)):
             try:
                 connection = await self._pool.open(upstream.address)
             except ConnectionLostError:
-                return Pulse.DEAD
+                return ProbeResult.DEAD
             try:
                 await trio.sleep(PROXY_CLOSE_TIMEOUT_SECONDS)
-                return Pulse.ALIVE if connection.is_quiet() else Pulse.SILENT
+                return ProbeResult.ALIVE if connection.is_quiet() else ProbeResult.SILENT
             finally:
                 connection.abort()
-        return Pulse.SILENT
+        return ProbeResult.SILENT
 
-    async def _probe_once(self, upstream: Upstream, seconds: float) -> PulseReading:
+    async def _probe_once(self, upstream: Upstream, seconds: float) -> ProbeReply:
         has_replied = False
         with trio.move_on_after(seconds):
             # An idle connection may have been closed by the runner, so a failure is retried once.
             for attempt in range(2):
                 if attempt and not await self._admit(upstream.instance, Purpose.QUESTION):
-                    return PulseReading(Pulse.ALIVE if has_replied else Pulse.UNASKED)
+                    return ProbeReply(ProbeResult.ALIVE if has_replied else ProbeResult.NOT_SENT)
                 try:
                     status, content = await self._exchange(upstream, b"GET", REPORT)
                 except ConnectionLostError as failure:
@@ -228,19 +229,19 @@
                     continue
                 incarnation = self._start_news(upstream, report.born)
                 if incarnation is StartOrder.NEWER:
-                    return PulseReading(Pulse.DEAD)
-                return PulseReading(
-                    Pulse.ALIVE, report.pace if incarnation is StartOrder.SAME else 1.0
+                    return ProbeReply(ProbeResult.DEAD)
+                return ProbeReply(
+                    ProbeResult.ALIVE, report.pace if incarnation is StartOrder.SAME else 1.0
                 )
-            return PulseReading(Pulse.ALIVE if has_replied else Pulse.DEAD)
-        return PulseReading(Pulse.ALIVE if has_replied else Pulse.SILENT)
+            return ProbeReply(ProbeResult.ALIVE if has_replied else ProbeResult.DEAD)
+        return ProbeReply(ProbeResult.ALIVE if has_replied else ProbeResult.SILENT)
 
     async def move(
         self, upstream: Upstream, request_id: str, path: LayerPath
     ) -> tuple[MoveResult, str]:
         """Move a running request to another path.
 
-        With PART_MISSING, the second value is the address of the runner whose part is missing.
+        With STAGE_MISSING, the second value is the address of the runner whose stage is missing.
         """
         body = {"op": "repath", "id": request_id, "path": format_path(path)}
         answer = await self._order(upstream, body, REPORT_TIMEOUT_SECONDS)
@@ -251,7 +252,7 @@
             return MoveResult.MOVED, ""
         if status == 409:
             refusal = decode_message(content, OrderAnswer)
-            return MoveResult.PART_MISSING, refusal.address if refusal is not None else ""
+            return MoveResult.STAGE_MISSING, refusal.address if refusal is not None else ""
         return MoveResult.UNKNOWN_REQUEST, ""
 
     async def _order(
--- a/features/mutants_crashes.py
+++ b/features/mutants_crashes.py
@@ -47,10 +47,10 @@
 
 
 def plain_upstreams_are_asked_questions():
-    async def reach(self, upstream, seconds):
-        return (await self.pulse(upstream, seconds)).pulse
+    async def probe_connection(self, upstream, seconds):
+        return (await self.probe(upstream, seconds)).result
 
-    RunnerControl.reach = reach
+    RunnerControl.probe_connection = probe_connection
 
 
 def convicted_requests_are_tried_by_all():
--- a/features/mutants_rates.py
+++ b/features/mutants_rates.py
@@ -52,13 +52,13 @@
 
 
 def a_stall_question_without_token_counts_as_unanswered():
-    usual = RunnerControl.stalled
+    usual = RunnerControl.query_stalled
 
     async def stalled(self, upstream):
         report = await usual(self, upstream)
-        return report if report is not None and report.asked else None
+        return report if report is not None and report.was_sent else None
 
-    RunnerControl.stalled = stalled
+    RunnerControl.query_stalled = stalled
 
 
 LIMITS = ("rate_limits", "rate_sharing")
--- a/features/notice_happenings.py
+++ b/features/notice_happenings.py
@@ -63,7 +63,7 @@
 async def asks_shorter(site, name):
     usual_asks = site.runners[name].asks
     site.runners[name].asks, site.runners[name].refuses_control = ("0.2",), True
-    await site.control.load(row(site, name))
+    await site.control.query_load(row(site, name))
     site.runners[name].asks, site.runners[name].refuses_control = usual_asks, False
 
 
--- a/features/steps/crash_evidence_steps.py
+++ b/features/steps/crash_evidence_steps.py
@@ -8,7 +8,7 @@
 
 from deckcourse.gateway.crash_evidence import CrashEvidence
 from deckcourse.gateway.crash_watch import CrashWatch
-from deckcourse.gateway.dialect import Pulse
+from deckcourse.gateway.dialect import ProbeResult
 from deckcourse.gateway.upstream import Upstream
 
 UPSTREAM = Upstream("u", "s", "u:1", "x")
@@ -18,7 +18,7 @@
     """Reports every upstream as silent."""
 
     async def probe(self, upstream, has_layers):
-        return Pulse.SILENT
+        return ProbeResult.SILENT
 
 
 class NullCrashBook:
--- a/features/steps/foreign_frame_steps.py
+++ b/features/steps/foreign_frame_steps.py
@@ -25,7 +25,7 @@
 from peer_world import SETTLE_SECONDS
 
 from deckcourse.gateway.desired import CallerBounds
-from deckcourse.gateway.dialect import Pulse
+from deckcourse.gateway.dialect import ProbeResult
 from deckcourse.gateway.load_watch import LoadWatch
 from deckcourse.gateway.traffic_share import TrafficShare
 from deckcourse.gateway.upstream import Upstream
@@ -265,9 +265,9 @@
         await loads._ask(upstream)
         found = (
             await control.order_count(upstream),
-            await control.stalled(upstream),
-            await control.load(upstream),
-            (await control.pulse(upstream, 0.1)).pulse,
+            await control.query_stalled(upstream),
+            await control.query_load(upstream),
+            (await control.probe(upstream, 0.1)).result,
         )
         nursery.cancel_scope.cancel()
     return found
@@ -276,10 +276,10 @@
 @then("a report {what} is none, and no question about it raises")
 def report_is_rejected(context, what):
     count, stalled, load, pulse = virtually(lambda: results_for(VALID_REPORT))
-    assert (count, stalled.pace, load.running, pulse) == (7, 1.5, 1, Pulse.ALIVE)
+    assert (count, stalled.pace, load.running, pulse) == (7, 1.5, 1, ProbeResult.ALIVE)
     report = report_with(what.replace("{400 digits}", "9" * 400))
     # An upstream that answers at all is alive.
-    assert virtually(lambda: results_for(report)) == (None, None, None, Pulse.ALIVE)
+    assert virtually(lambda: results_for(report)) == (None, None, None, ProbeResult.ALIVE)
 
 
 MODEL = ModelSpec("m", 8, 100.0)
--- a/features/steps/interruption_steps.py
+++ b/features/steps/interruption_steps.py
@@ -15,7 +15,7 @@
 from interruption_world import TriggeredInterruption, play_blocked_caller, watch_streams
 
 from deckcourse.gateway.active_stream import Interruption
-from deckcourse.gateway.dialect import Pulse
+from deckcourse.gateway.dialect import ProbeResult
 from deckcourse.gateway.upstream import Upstream
 from deckcourse.http1.client import ConnectionPool
 from deckcourse.http1.memory import MemoryNetwork
@@ -106,10 +106,10 @@
         upstream = Upstream("u", "s", "u:1", "x")
         nursery.start_soon(pause)
         ask = {
-            "its stalls": lambda: control.stalled(upstream),
-            "its load": lambda: control.load(upstream),
+            "its stalls": lambda: control.query_stalled(upstream),
+            "its load": lambda: control.query_load(upstream),
             "its orders": lambda: control.order_count(upstream),
-            "its pulse": lambda: control.pulse(upstream, 0.15),
+            "its pulse": lambda: control.probe(upstream, 0.15),
         }
         results = await ask[what]()
         nursery.cancel_scope.cancel()
@@ -129,7 +129,7 @@
     pulse = context.results.pop("its pulse", None)
     missing = [what for what, results in context.results.items() if results is None]
     assert not missing, missing
-    assert pulse is not None and pulse.pulse is Pulse.ALIVE, pulse
+    assert pulse is not None and pulse.result is ProbeResult.ALIVE, pulse
 
 
 @when(
--- a/features/steps/late_answer_steps.py
+++ b/features/steps/late_answer_steps.py
@@ -254,7 +254,7 @@
 
         async def story(site):
             upstream = site.node.gateway.context.upstreams.get("p1")
-            await RunnerControl(site.pool).load(upstream)
+            await RunnerControl(site.pool).query_load(upstream)
             site.got = await site.ask("once", "")
 
         site.play(story)
@@ -328,8 +328,8 @@
             result, _ = await self.control.move(self.upstream, "r1", path)
             return str(result)
         if what == "pulse":
-            reading = await self.control.pulse(self.upstream, 1.0)
-            return f"{reading.pulse} at pace {reading.pace:g}"
+            reading = await self.control.probe(self.upstream, 1.0)
+            return f"{reading.result} at pace {reading.pace:g}"
         await self._request("c1" if what == "caller's call" else "")
         return ""
 
--- a/features/steps/notice_steps.py
+++ b/features/steps/notice_steps.py
@@ -123,7 +123,7 @@
     if call == "an order":
         await site.control.place(row(site, "x1"), Assignment("x1", 0, 4, ""), 0)
     elif call:
-        await site.control.load(row(site, "x1"))
+        await site.control.query_load(row(site, "x1"))
 
 
 @when("a caller asks for {route} every 0.05 seconds for {seconds:d} seconds")
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -86,7 +86,7 @@
         count = await site.control.order_count(upstream)
         return "unanswered" if count is None else f"{count} orders"
     if what == "pulse":
-        return str((await site.control.pulse(upstream, 0.1)).pulse)
+        return str((await site.control.probe(upstream, 0.1)).result)
     if what == "place":
         return str(await site.control.place(upstream, Assignment("p", 0, 4, ""), 3))
     result, _ = await site.control.move(upstream, "r1", MOVED)
@@ -290,7 +290,7 @@
         old = listed(site, "x2")
         site.runners["x2"].restart(2000, tells=told == "its row")
         if told == "a report":
-            await site.control.load(old)
+            await site.control.query_load(old)
         told_at = trio.current_time()
         with trio.move_on_after(5.0):
             while held_by(site.runners.values()) != set(range(LAYERS)):
@@ -353,7 +353,7 @@
         site.store.away = True
         await trio.sleep(0.2)
         runner = site.runners["x2"].restart(2000, tells=False)
-        await site.control.load(old)
+        await site.control.query_load(old)
         refused = site.counters.counts.get("retry.refused.421", 0)
         context.firsts = []
         for number in range(6):
--- a/features/steps/shared_limit_steps.py
+++ b/features/steps/shared_limit_steps.py
@@ -150,7 +150,7 @@
     def __init__(self, seconds):
         self.seconds = seconds
 
-    async def load(self, upstream):
+    async def query_load(self, upstream):
         await trio.sleep(self.seconds)
         return LoadReport(running=30, queued=0, cache_used=0, cache_total=1)
 
--- a/features/steps/stall_steps.py
+++ b/features/steps/stall_steps.py
@@ -5,7 +5,7 @@
 from trio.testing import MockClock
 
 from deckcourse.gateway.active_stream import ActiveStream
-from deckcourse.gateway.dialect import Pulse, PulseReading, StallReport
+from deckcourse.gateway.dialect import ProbeReply, ProbeResult, StallReport
 from deckcourse.gateway.stalls import StallMonitor
 from deckcourse.gateway.upstream import Upstream
 from deckcourse.gateway.upstreams import UpstreamTable
@@ -21,12 +21,12 @@
     def __init__(self):
         self.probed = set()
 
-    async def stalled(self, upstream):
+    async def query_stalled(self, upstream):
         return StallReport({}, 1.0)
 
-    async def pulse(self, upstream, seconds):
+    async def probe(self, upstream, seconds):
         self.probed.add(upstream.instance)
-        return PulseReading(Pulse.ALIVE, 1.0)
+        return ProbeReply(ProbeResult.ALIVE, 1.0)
 
 
 def stream_over(names, number):
