--- a/deckcourse/gateway/calls.py
+++ b/deckcourse/gateway/calls.py
@@ -23,7 +23,7 @@
 __all__ = [
     "Withheld",
     "is_withheld",
-    "refuse_joined",
+    "check_single_response",
     "refuse_quarantined",
     "send_request",
     "schedule_retry_after",
@@ -151,7 +151,7 @@
     return reply, facts
 
 
-def refuse_joined(reply: UpstreamReply, body: bytes) -> None:
+def check_single_response(reply: UpstreamReply, body: bytes) -> None:
     """Check that a body doesn't contain the start of another response.
 
     That can happen if only the end of the connection delimits the body, or if bytes follow the body
--- a/deckcourse/gateway/lookup.py
+++ b/deckcourse/gateway/lookup.py
@@ -7,8 +7,8 @@
 from deckcourse.gateway.admitted import Admitted
 from deckcourse.gateway.calls import (
     Withheld,
+    check_single_response,
     is_withheld,
-    refuse_joined,
     refuse_quarantined,
     schedule_retry_after,
     send_request,
@@ -248,7 +248,7 @@
         if facts.not_executed:
             self._executions -= 1
             return _Refused(RetryReason.REFUSED, f"upstream answered {reply.status}")
-        refuse_joined(reply, body)
+        check_single_response(reply, body)
         if reply.status < SERVER_ERROR:
             self._context.crashes.record_success(self._admitted, upstream.instance)
         return _Response(reply.status, end_to_end(reply.headers), body)
--- a/deckcourse/gateway/stream.py
+++ b/deckcourse/gateway/stream.py
@@ -16,8 +16,8 @@
 from deckcourse.gateway.admitted import Admitted
 from deckcourse.gateway.calls import (
     Withheld,
+    check_single_response,
     is_withheld,
-    refuse_joined,
     refuse_quarantined,
     schedule_retry_after,
     send_request,
@@ -347,7 +347,7 @@
             self._executions -= 1
             self._retries.note_refused(stream.path.parts[0].instance)
             return self._on_refusal(stream, reply.status, facts)
-        refuse_joined(reply, body)
+        check_single_response(reply, body)
         return await self._on_other_response(reply, body)
 
     async def _on_other_response(self, reply: UpstreamReply, body: bytes) -> _AttemptResult:
--- a/features/steps/stream_event_steps.py
+++ b/features/steps/stream_event_steps.py
@@ -33,7 +33,7 @@
 from hypothesis import strategies
 from raw_upstream import HEAD, REFUSAL, Answer, RawUpstream
 
-from deckcourse.gateway.calls import refuse_joined
+from deckcourse.gateway.calls import check_single_response
 from deckcourse.gateway.events import EventReader
 from deckcourse.http1.client import UpstreamConnection, UpstreamReply
 from deckcourse.http1.message import ConnectionLostError
@@ -385,7 +385,7 @@
 def check_plain(data):
     """Check a body without a length for another answer."""
     with suppress(ConnectionLostError):
-        refuse_joined(UpstreamReply(200, (), SimpleNamespace(followed=False)), data)
+        check_single_response(UpstreamReply(200, (), SimpleNamespace(followed=False)), data)
 
 
 # Each of these once blocked the process for seconds: the first for 6.3 s, doubling with each
