--- a/deckcourse/gateway/context.py
+++ b/deckcourse/gateway/context.py
@@ -30,7 +30,7 @@
     dialect: Dialect
     pool: ConnectionPool
     monitor: StallMonitor
-    choices: Callable[[str], PathChoice]
+    path_choice: Callable[[str], PathChoice]
     may_send: Callable[[], bool]
     count: Callable[[str], None]
     timing: Callable[[str, float], None]
--- a/deckcourse/gateway/dialect.py
+++ b/deckcourse/gateway/dialect.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class CallerRequest:
-    """A caller's request with its parsed headers; `patience` is its timeout, seconds, if any."""
+    """A caller's request with its parsed headers and its timeout, if any."""
 
     message: IncomingRequest
     request_id: str
--- a/deckcourse/gateway/load_watch.py
+++ b/deckcourse/gateway/load_watch.py
@@ -135,7 +135,7 @@
             if self._is_limited(upstream.instance):
                 continue
             if upstream.domain == self._domain or self._rounds % REMOTE_QUERY_ROUNDS == 0:
-                nursery.start_soon(self._ask, upstream)
+                nursery.start_soon(self._query, upstream)
         self._rounds += 1
 
     def _record_share(self) -> None:
@@ -144,7 +144,7 @@
             own = sum(self._in_flight(each.instance) for each in reports)
             self._traffic.note(own, round(self._total_requests()))
 
-    async def _ask(self, upstream: Upstream) -> None:
+    async def _query(self, upstream: Upstream) -> None:
         queried_at = trio.current_time()
         load = await self._control.query_load(upstream)
         if load is None:
@@ -152,5 +152,5 @@
         share = load.cache_used / load.cache_total if load.cache_total else 0.0
         row = LoadRow(upstream.instance, load.running, load.queued, share, queried_at)
         self._board.note(row)
-        if not self._traffic.measured:
+        if not self._traffic.is_measured:
             self._record_share()
--- a/deckcourse/gateway/lookup.py
+++ b/deckcourse/gateway/lookup.py
@@ -145,9 +145,9 @@
         if self._executions:
             message = last_failure.message if last_failure is not None else "the response was lost"
             return Unknown(UnknownReason.UPSTREAM_LOST, message)
-        opens_at = self._context.upstreams.accepts_at(self._admitted.service.name)
-        if opens_at is not None:
-            min_seconds = max(REFUSED_RETRY_AFTER_SECONDS, opens_at - trio.current_time())
+        accepts_at = self._context.upstreams.accepts_at(self._admitted.service.name)
+        if accepts_at is not None:
+            min_seconds = max(REFUSED_RETRY_AFTER_SECONDS, accepts_at - trio.current_time())
             retry_after = schedule_retry_after(self._context, self._admitted, min_seconds)
             message = f"no upstream accepts requests for {min_seconds:.2f} s"
             return NotRun(NotRunReason.UPSTREAM_BACKOFF, message, retry_after)
--- a/deckcourse/gateway/node.py
+++ b/deckcourse/gateway/node.py
@@ -202,7 +202,7 @@
             dialect=ports.dialect,
             pool=ports.pool,
             monitor=self._monitor,
-            choices=self._path_choice,
+            path_choice=self._path_choice,
             may_send=self.may_send,
             count=counters.count,
             timing=counters.timing,
@@ -313,7 +313,7 @@
                     self._healers[name] = healer
                     model = partial(self._model_of, name)
                     nursery.start_soon(self._run_forever, healer.run, model, self._may_heal)
-                    nursery.start_soon(self._run_forever, self._path_choice(name).watch.run)
+                    nursery.start_soon(self._run_forever, self._path_choice(name).load_watch.run)
             await changed.wait()
 
     def _poll_wait(self) -> float:
@@ -330,9 +330,9 @@
 
     def _process_factor(self) -> float:
         """Return the number of processes relative to that of a small site."""
-        if not self._traffic_share.measured:
+        if not self._traffic_share.is_measured:
             return INITIAL_PROCESS_FACTOR
-        return self._traffic_share.spread(1.0, SMALL_SITE_TRAFFIC_SHARE)
+        return self._traffic_share.scale_interval(1.0, SMALL_SITE_TRAFFIC_SHARE)
 
     def _planning_rank(self, group: Group) -> int:
         """Return how many processes precede this one in planning for a group."""
--- a/deckcourse/gateway/path_choice.py
+++ b/deckcourse/gateway/path_choice.py
@@ -127,7 +127,7 @@
         self._cached_firsts: tuple[int, list[Upstream]] | None = None
 
     @property
-    def watch(self) -> LoadWatch:
+    def load_watch(self) -> LoadWatch:
         """The watch over the load of the first upstreams."""
         return self._watch
 
@@ -248,7 +248,7 @@
     @property
     def _backoff_factor(self) -> float:
         """The factor by which this process extends backoffs, by its share of the traffic."""
-        return min(MAX_BACKOFF_FACTOR, self._traffic.spread(1.0, EXTENDED_BACKOFF_SHARE))
+        return min(MAX_BACKOFF_FACTOR, self._traffic.scale_interval(1.0, EXTENDED_BACKOFF_SHARE))
 
     def refused_recently(self, path: LayerPath) -> bool:
         """Return whether a path passes an upstream that is avoided after a refusal."""
@@ -333,7 +333,7 @@
             self._cached_path_set = (key, paths)
         return self._cached_path_set[1]
 
-    def opens_at(self, model: ModelSpec) -> float | None:
+    def accepts_at(self, model: ModelSpec) -> float | None:
         """Return when a path's first upstream accepts requests again at the earliest, on the clock.
 
         None if one accepts them now, or if no path holds every layer.
--- a/deckcourse/gateway/stream.py
+++ b/deckcourse/gateway/stream.py
@@ -88,7 +88,7 @@
     def __init__(self, context: GatewayContext, admitted: Admitted) -> None:
         self._context = context
         self._admitted = admitted
-        self._choice = context.choices(admitted.service.name)
+        self._choice = context.path_choice(admitted.service.name)
         self._avoided: set[str] = set()
         self._executions = 0
         # Whether any attempt has returned events.
@@ -97,7 +97,7 @@
         self._last_event = admitted.caller.last_event
         self._last_progress_at = trio.current_time()
         self._arrived_at = trio.current_time()
-        self._choice.watch.note_request()
+        self._choice.load_watch.note_request()
 
     @property
     def _has_started(self) -> bool:
@@ -196,11 +196,11 @@
 
     def _no_path_outcome(self, last_failure: _Refused | _Broken | None) -> Outcome:
         """Return the outcome if no path is usable, with the end of the backoffs as retry-after."""
-        opens_at = self._choice.opens_at(self._admitted.service.model)
-        if self._executions or opens_at is None:
+        accepts_at = self._choice.accepts_at(self._admitted.service.model)
+        if self._executions or accepts_at is None:
             return self._give_up(last_failure, NotRunReason.NO_ROUTE, NO_PATH_RETRY_AFTER_SECONDS)
         # Refused immediately: waiting here would not serve the caller sooner.
-        seconds = max(0.0, opens_at - trio.current_time())
+        seconds = max(0.0, accepts_at - trio.current_time())
         message = f"the first upstream of every path accepts no requests for {seconds:.2f} s"
         return NotRun(NotRunReason.UPSTREAM_BACKOFF, message, self._retry_after(seconds))
 
@@ -331,7 +331,7 @@
         self._executions += 1
         stream.execution = self._context.crashes.begin_attempt(admitted, dispatch.instance)
         self._retries.note_execution(dispatch.instance)
-        self._choice.watch.note_sent(dispatch.instance)
+        self._choice.load_watch.note_sent(dispatch.instance)
         try:
             with stream.interruptible():
                 reply, facts = await send_request(self._context, admitted, connection, dispatch)
--- a/deckcourse/gateway/traffic_share.py
+++ b/deckcourse/gateway/traffic_share.py
@@ -36,17 +36,17 @@
         return self._share
 
     @property
-    def measured(self) -> bool:
+    def is_measured(self) -> bool:
         """Whether any traffic has been measured yet."""
         return self._measured_at > float("-inf")
 
-    def spread(self, seconds: float, share: float) -> float:
+    def scale_interval(self, seconds: float, share: float) -> float:
         """Return an interval, lengthened in proportion if this process's share is below `share`.
 
         The total rate of all processes then hardly grows with their number. Before the first
         measurement the interval is returned unchanged.
         """
-        return seconds * max(1.0, share / self._share) if self.measured else seconds
+        return seconds * max(1.0, share / self._share) if self.is_measured else seconds
 
     def note(self, own: int, total: int) -> None:
         """Add one measurement.
--- a/features/mutants_notices.py
+++ b/features/mutants_notices.py
@@ -30,7 +30,7 @@
 
 
 def callers_come_back_before_there_is_a_path():
-    PathChoice.opens_at = lambda self, model: None
+    PathChoice.accepts_at = lambda self, model: None
 
 
 def callers_come_back_before_a_call_is_taken():
--- a/features/steps/foreign_frame_steps.py
+++ b/features/steps/foreign_frame_steps.py
@@ -262,7 +262,7 @@
             TrafficShare(trio.current_time), LoadBoard(trio.current_time),
             lambda: True, lambda: 0.0,
         )  # fmt: skip
-        await loads._ask(upstream)
+        await loads._query(upstream)
         found = (
             await control.order_count(upstream),
             await control.query_stalled(upstream),
--- a/features/steps/shared_limit_steps.py
+++ b/features/steps/shared_limit_steps.py
@@ -178,9 +178,9 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(watch.run)
             await trio.sleep(early)
-            assert not traffic.measured
+            assert not traffic.is_measured
             await trio.sleep(late - early)
-            assert traffic.measured and 0.1 < traffic.share < 0.2, traffic.share
+            assert traffic.is_measured and 0.1 < traffic.share < 0.2, traffic.share
             nursery.cancel_scope.cancel()
 
     trio.run(story, clock=MockClock(autojump_threshold=0))
