--- a/features/crash_world.py
+++ b/features/crash_world.py
@@ -227,7 +227,7 @@
         if len(ends) < 3:
             return []
         return [
-            each.at for each in self.arrivals
+            each.at for each in self.received_requests
             if self.body_of(each.request) == body and each.at > ends[2].at + contact
         ]  # fmt: skip
 
--- a/features/gateway_runner.py
+++ b/features/gateway_runner.py
@@ -80,7 +80,7 @@
         self.on_order = None
         # The backoffs that a refusal requests, one header each; the upstream at fault; whether
         # control calls are refused too; and whether every response says that it is leaving.
-        self.asks = ()
+        self.requested_backoffs = ()
         self.at_fault = ""
         self.refuses_control = False
         self.says_leaving = False
@@ -96,7 +96,7 @@
         if not self.says_leaving:
             return limits
         leaving_notice = SentNotice(self.instance, self.born, trio.current_time())
-        self.world.told_leaving.append(leaving_notice)
+        self.world.leaving_notices.append(leaving_notice)
         return (*limits, (b"server-leaving", b"1"))
 
     @property
@@ -106,11 +106,11 @@
 
     def refusal(self):
         """Return the headers of a refusal, and record the backoffs that it requests."""
-        for each in self.asks:
+        for each in self.requested_backoffs:
             if each.replace(".", "", 1).isdigit():
                 sent_notice = SentNotice(self.instance, self.born, trio.current_time(), float(each))
-                self.world.asked.append(sent_notice)
-        backoffs = tuple((b"retry-after", each.encode()) for each in self.asks)
+                self.world.backoff_notices.append(sent_notice)
+        backoffs = tuple((b"retry-after", each.encode()) for each in self.requested_backoffs)
         at_fault_header = ((b"at-server", self.at_fault.encode()),) if self.at_fault else ()
         return (*self.response_headers, (b"x-not-executed", b"1"), *at_fault_header, *backoffs)
 
@@ -175,7 +175,7 @@
             control_call = ReceivedRequest(
                 CONTROL_CALL, self.instance, self.born, trio.current_time()
             )
-            self.world.questions.append(control_call)
+            self.world.control_calls.append(control_call)
         if self.control_delay and request.target.startswith(b"/v1/"):
             await trio.sleep(self.control_delay)
         if self.refuses_control and request.target.startswith(b"/v1/"):
@@ -231,7 +231,7 @@
         seal = (b"x-response-seal", b"seal-" + name.encode())
         answer = ((b"x-request-id", name.encode()), seal)
         arrival = ReceivedRequest(name, self.instance, self.born, trio.current_time())
-        self.world.arrivals.append(arrival)
+        self.world.received_requests.append(arrival)
         if headers.get("x-expected-instance", self.instance) != self.instance:
             await exchange.whole(421, (answer[0], *self.response_headers), b"")
             return
--- a/features/gateway_world.py
+++ b/features/gateway_world.py
@@ -58,10 +58,10 @@
     def __init__(self):
         self.runners = {}
         self.runs = []
-        self.arrivals = []
-        self.questions = []
-        self.asked = []
-        self.told_leaving = []
+        self.received_requests = []
+        self.control_calls = []
+        self.backoff_notices = []
+        self.leaving_notices = []
         self.orders = []
         self.events = 20
         self.paused_until = 0.0
--- a/features/notice_happenings.py
+++ b/features/notice_happenings.py
@@ -49,9 +49,9 @@
 
 async def starts_again(site, name):
     runner = site.runners[name]
-    asks, behaviour, held = runner.asks, runner.behaviour, (runner.first, runner.end)
+    asks, behaviour, held = runner.requested_backoffs, runner.behaviour, (runner.first, runner.end)
     after = runner.restart(int(trio.current_time() * 1000) + 1, tells=False)
-    after.asks, after.behaviour = asks, behaviour
+    after.requested_backoffs, after.behaviour = asks, behaviour
     after.service, (after.first, after.end) = runner.service, held
     after.start()
 
@@ -61,10 +61,10 @@
 
 
 async def asks_shorter(site, name):
-    usual_asks = site.runners[name].asks
-    site.runners[name].asks, site.runners[name].refuses_control = ("0.2",), True
+    usual_asks = site.runners[name].requested_backoffs
+    site.runners[name].requested_backoffs, site.runners[name].refuses_control = ("0.2",), True
     await site.control.query_load(row(site, name))
-    site.runners[name].asks, site.runners[name].refuses_control = usual_asks, False
+    site.runners[name].requested_backoffs, site.runners[name].refuses_control = usual_asks, False
 
 
 HAPPENINGS = {
--- a/features/notice_world.py
+++ b/features/notice_world.py
@@ -61,11 +61,11 @@
     """Return the requests that reached an upstream during a backoff that it requested."""
     return [
         each
-        for each in site.arrivals
+        for each in site.received_requests
         if each.instance == instance
         and any(
             asked.at + IN_FLIGHT_SECONDS < each.at < asked.at + asked.seconds
-            for asked in site.asked
+            for asked in site.backoff_notices
             if asked.instance == instance
         )
     ]
@@ -75,11 +75,11 @@
     """Return the requests that reached an incarnation after it announced its shutdown."""
     return [
         each
-        for each in site.arrivals
+        for each in site.received_requests
         if any(
             told.instance == instance
             and (each.instance, each.start) == (told.instance, told.start)
             and each.at > told.at + IN_FLIGHT_SECONDS
-            for told in site.told_leaving
+            for told in site.leaving_notices
         )
     ]
--- a/features/rate_world.py
+++ b/features/rate_world.py
@@ -36,7 +36,7 @@
 
     def sendings(self, name):
         """Return the arrival times of all messages at a runner, sorted."""
-        reached = [*self.arrivals, *self.questions]
+        reached = [*self.received_requests, *self.control_calls]
         return sorted(each.at for each in reached if each.instance.partition("+")[0] == name)
 
     def most_in_window(self, name, since=None):
@@ -53,7 +53,9 @@
 
     def used(self, name, rate, since, until):
         """Return the share of a limit that callers' requests used between two times."""
-        count = sum(each.instance == name and since <= each.at < until for each in self.arrivals)
+        count = sum(
+            each.instance == name and since <= each.at < until for each in self.received_requests
+        )
         return count / (rate * (until - since))
 
     async def keep_asking(self, route, rate, seconds, share_of_first=None):
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -202,8 +202,10 @@
 
 @then("upstreams received only requests that callers sent")
 def only_callers_requests(context):
-    unasked = [each for each in context.site.arrivals if each.request not in context.site.bodies]
-    assert context.site.arrivals and not unasked, (len(unasked), unasked[:3])
+    unasked = [
+        each for each in context.site.received_requests if each.request not in context.site.bodies
+    ]
+    assert context.site.received_requests and not unasked, (len(unasked), unasked[:3])
 
 
 @when("another account sends what is deadly from the first one, and to nobody")
--- a/features/steps/notice_steps.py
+++ b/features/steps/notice_steps.py
@@ -39,7 +39,7 @@
 def first_asks(context, asks):
     for runner in first_upstreams(site_with_notices(context)):
         runner.behaviour = "full"
-        runner.asks = ODD_ASKS.get(asks, tuple(asks.split(" / ")))
+        runner.requested_backoffs = ODD_ASKS.get(asks, tuple(asks.split(" / ")))
 
 
 @given("upstreams of which the first one refuses requests for x2's sake, with Retry-After 3")
@@ -53,7 +53,7 @@
     first_asks(context, "3")
     for name in ("y1", "p2"):
         context.site.runners[name].behaviour = "full"
-        context.site.runners[name].asks = ("2",)
+        context.site.runners[name].requested_backoffs = ("2",)
 
 
 @given(
@@ -63,7 +63,7 @@
 def one_asks(context):
     all_ask(context)
     for name in ("y1", "p2"):
-        context.site.runners[name].asks = ()
+        context.site.runners[name].requested_backoffs = ()
 
 
 @then("the first caller that both refused may retry within {seconds:g} seconds")
@@ -83,7 +83,7 @@
 @given("upstreams of which the first one sends Retry-After 3 in the response to {answer}")
 def asks_in_control(context, answer):
     runner, _ = first_upstreams(site_with_notices(context))
-    runner.asks, runner.refuses_control = ("3",), True
+    runner.requested_backoffs, runner.refuses_control = ("3",), True
     context.control_call = answer
 
 
@@ -171,7 +171,7 @@
 
 
 def turns_away(runner):
-    runner.behaviour, runner.asks = "full", ("3",)
+    runner.behaviour, runner.requested_backoffs = "full", ("3",)
 
 
 @when("it does so in the middle of a stream")
@@ -222,7 +222,9 @@
 
 
 def assert_was_asked(context, name):
-    assert any(each.instance == name for each in context.site.asked), context.site.arrivals
+    assert any(
+        each.instance == name for each in context.site.backoff_notices
+    ), context.site.received_requests
 
 
 @then("the first one got no request during its backoff")
@@ -243,9 +245,11 @@
 @then("the first one got requests again after its backoff")
 def used_again(context):
     name = FIRST[context.notices.route]
-    over = max(each.at + each.seconds for each in context.site.asked if each.instance == name)
-    first = min(each.at for each in context.site.asked if each.instance == name)
-    again = [each.at for each in context.site.arrivals if each.at >= first + 3.0]
+    over = max(
+        each.at + each.seconds for each in context.site.backoff_notices if each.instance == name
+    )
+    first = min(each.at for each in context.site.backoff_notices if each.instance == name)
+    again = [each.at for each in context.site.received_requests if each.at >= first + 3.0]
     assert again and min(again) < first + 3.0 + 0.5, (first, over, again[:3])
 
 
@@ -260,10 +264,10 @@
 @then("every later caller was refused within 0.01 seconds, to retry when the first backoff is over")
 def refused_until_first_backoff_ends(context):
     site = context.site
-    firsts = {each.instance: each.at + each.seconds for each in reversed(site.asked)}
+    firsts = {each.instance: each.at + each.seconds for each in reversed(site.backoff_notices)}
     names = {"stream": ("x1", "y1")}.get(context.notices.route, ("p1", "p2"))
     opens = min(firsts[name] for name in names)
-    all_asked = max(each.at for each in site.asked)
+    all_asked = max(each.at for each in site.backoff_notices)
     later = [(at, got) for at, got in context.notices.got if at > all_asked + IN_FLIGHT_SECONDS]
     assert len(later) > 20, len(later)
     for at, got in later:
@@ -278,7 +282,7 @@
 @then("every later caller was refused within 0.01 seconds")
 def refused_at_once(context):
     site, names = context.site, {"p1", "p2"}
-    firsts = {each.instance: each.at for each in reversed(site.told_leaving)}
+    firsts = {each.instance: each.at for each in reversed(site.leaving_notices)}
     assert names <= set(firsts), firsts
     all_announced_at = max(firsts[name] for name in names)
     later = [got for at, got in context.notices.got if at > all_announced_at + IN_FLIGHT_SECONDS]
@@ -289,7 +293,7 @@
 @then("the first one got its next request after {seconds} seconds, {malformed} malformed responses")
 def next_after(context, seconds, malformed):
     site = context.site
-    at = [each.at for each in site.arrivals if each.instance == "x1"]
+    at = [each.at for each in site.received_requests if each.instance == "x1"]
     pause = at[1] - at[0] if len(at) > 1 else None
     if seconds == "never":
         assert pause is None, at
@@ -304,7 +308,7 @@
 @then("the first one got no request after its announcement")
 def leaving_kept(context):
     name = FIRST[context.notices.route]
-    assert any(each.instance == name for each in context.site.told_leaving)
+    assert any(each.instance == name for each in context.site.leaving_notices)
     late = arrivals_after_leaving(context.site, name)
     assert not late, (len(late), late[:3])
 
@@ -321,8 +325,12 @@
     name = FIRST[context.notices.route]
     start = context.site.runners[name].born
     assert start is not None
-    found = [each for each in context.site.arrivals if (each.instance, each.start) == (name, start)]
-    assert found, context.site.arrivals[-3:]
+    found = [
+        each
+        for each in context.site.received_requests
+        if (each.instance, each.start) == (name, start)
+    ]
+    assert found, context.site.received_requests[-3:]
 
 
 @then("the first one is not recorded as leaving")
--- a/features/steps/rate_limit_steps.py
+++ b/features/steps/rate_limit_steps.py
@@ -237,7 +237,9 @@
 @then("it was queried about them")
 def was_asked(context):
     site = context.site
-    asked = [each for each in site.questions if each.instance == "x1" and each.at > site.named_at]
+    asked = [
+        each for each in site.control_calls if each.instance == "x1" and each.at > site.named_at
+    ]
     assert asked
 
 
@@ -258,7 +260,11 @@
     site = context.site
     # Under a limit of 0 the upstream gets a query once in some seconds.
     since = site.ended_at + MAX_DETECTION_SECONDS
-    begun = [each for each in site.arrivals if each.at >= since and each.instance in ALL["stream"]]
+    begun = [
+        each
+        for each in site.received_requests
+        if each.at >= since and each.instance in ALL["stream"]
+    ]
     own = sum(each.instance == "x1" for each in begun)
     assert begun and own >= 0.2 * len(begun), (own, len(begun))
 
@@ -271,7 +277,7 @@
     site = context.site
     begun = [
         each.at - site.named_at
-        for each in site.arrivals
+        for each in site.received_requests
         if each.at > site.named_at and each.instance not in ALL["stream"]
     ]
     assert begun and first <= min(begun) <= last, begun[:3]
@@ -290,7 +296,7 @@
     site = context.site
     taken = [
         each
-        for each in site.questions
+        for each in site.control_calls
         if each.instance == "x1" and site.lost_at < each.at <= site.lost_at + seconds
     ]
     held = set(range(site.runners["x1"].first, site.runners["x1"].end))
--- a/features/steps/suspended_steps.py
+++ b/features/steps/suspended_steps.py
@@ -120,7 +120,7 @@
 
 async def runners_backing_off(site):
     runner = site.runners["p1"]
-    runner.behaviour, runner.asks = "full", ("3",)
+    runner.behaviour, runner.requested_backoffs = "full", ("3",)
     await site.ask("again", name="r1")
     runner.behaviour = ""
     suspend(site.clock)
@@ -168,7 +168,7 @@
 
 
 def sent(context):
-    return [each for each in context.site.arrivals if each.request == "r2"]
+    return [each for each in context.site.received_requests if each.request == "r2"]
 
 
 @then("a request that needs a key isn't sent")
