--- a/features/crash_world.py
+++ b/features/crash_world.py
@@ -157,7 +157,7 @@
             self.add(f"{domain}2", "llm", domain, 4, 8)
             self.add(f"p{domain}", "crm", domain)
         for runner in self.runners.values():
-            runner.obeys, runner.slots = False, 96
+            runner.accepts_orders, runner.slots = False, 96
 
     def add(self, instance, service="llm", domain="x", first=0, end=0):
         self.runners[instance] = CrashingRunner(self, instance, service, domain, first, end)
@@ -197,7 +197,7 @@
         name = f"{runner.instance.partition('+')[0]}+{self.starts}"
         after = self.add(name, runner.service, runner.domain, runner.first, runner.end)
         after.address = runner.address
-        after.obeys, after.slots = False, runner.slots
+        after.accepts_orders, after.slots = False, runner.slots
         after.start()
 
     def by_address(self, address):
--- a/features/gateway_runner.py
+++ b/features/gateway_runner.py
@@ -65,13 +65,13 @@
         self.hosts = {}
         self.waiting = {}
         self.behaviour = ""
-        self.obeys = True
+        self.accepts_orders = True
         self.running = self.queued = 0
         self.work = 0.05
         self.slots = 6
         self.kind = "card"
         self.unloaded_at_once = False
-        self.holds_up = False
+        self.blocks_streams = False
         self.silent_until = 0.0
         # Delay before it answers queries and orders, seconds.
         self.control_delay = 0.0
@@ -115,14 +115,14 @@
         return (*self.response_headers, (b"x-not-executed", b"1"), *at_fault_header, *backoffs)
 
     @property
-    def told_start(self):
+    def start_fields(self):
         """The fields that identify this incarnation, at the top of each of its messages."""
         return {} if self.born is None else {"born": self.born}
 
     def row(self, state="ready"):
         layers = {"rangeStart": self.first, "targetVersion": self.end, "version": 1}
         return {
-            **self.told_start,
+            **self.start_fields,
             "service": self.service,
             "address": self.address,
             "zone": self.domain,
@@ -159,7 +159,7 @@
             self.world.network.kill(self.address)
         after = StandinRunner(self.world, self.instance, self.service, self.domain)
         after.slots, after.kind, after.work = self.slots, self.kind, self.work
-        after.obeys, after.born = self.obeys, born
+        after.accepts_orders, after.born = self.accepts_orders, born
         self.world.runners[self.instance] = after
         self.world.network.listen(self.address, after.handle)
         if tells:
@@ -183,7 +183,7 @@
         elif has_control_calls and request.target == b"/v1/report":
             await trio.sleep_until(self.silent_until)
             report = {
-                **self.told_start,
+                **self.start_fields,
                 "sequence": self.orders,
                 "running": self.running,
                 "queued": self.queued,
@@ -203,14 +203,14 @@
         if self.on_order is not None:
             await self.on_order(order, exchange)
             return
-        start_fields = json.dumps(self.told_start).encode()
+        start_fields = json.dumps(self.start_fields).encode()
         if order["op"] == "repath":
             known = order["id"] in self.paths
             if known:
                 self.set_path(order["id"], order["path"])
             await exchange.whole(200 if known else 404, self.control_call_headers, start_fields)
             return
-        if not self.obeys or order["expectedRev"] != self.orders:
+        if not self.accepts_orders or order["expectedRev"] != self.orders:
             await exchange.whole(409, self.control_call_headers, start_fields)
             return
         self.orders += 1
--- a/features/gateway_store.py
+++ b/features/gateway_store.py
@@ -12,14 +12,14 @@
 class StandinStore(MemoryTable):
     """The store's tables with a feed of changes.
 
-    While `away` is set the store is unavailable. With `tells_all_rows` it has no change feed, so
-    that all rows are read each time. Changes up to version `forgotten` are no longer available.
+    While `away` is set the store is unavailable. With `has_no_change_feed` it has no change feed,
+    so that all rows are read each time. Changes up to version `forgotten` are no longer available.
     """
 
     def __init__(self):
         super().__init__()
         self.away = False
-        self.tells_all_rows = False
+        self.has_no_change_feed = False
         self.changed = trio.Event()
         self.log = []
         self.forgotten = 0
@@ -67,7 +67,7 @@
                 await self.changed.wait()
         if self.away:
             return Failure(TableFailure.UNAVAILABLE)
-        if self.tells_all_rows or after < self.forgotten:
+        if self.has_no_change_feed or after < self.forgotten:
             return Success(Changes((), after, complete=False))
         return Success(Changes(tuple(self._changes_after(table, after)), self._clock))
 
--- a/features/gateway_story.py
+++ b/features/gateway_story.py
@@ -50,12 +50,12 @@
     context.site.play(story)
 
 
-def nobody_heals(context):
+def refuse_orders(context):
     for runner in context.site.runners.values():
-        runner.obeys = False
+        runner.accepts_orders = False
 
 
-async def lapse(site, names, lost=lambda: None):
+async def play_outage(site, names, lost=lambda: None):
     """Make the store unavailable for a second, and recover it without the rows of some runners.
 
     `lost` is called during the outage.
--- a/features/gateway_world.py
+++ b/features/gateway_world.py
@@ -129,7 +129,9 @@
 
     def serves_no_streams(self, runner):
         """Return whether a runner serves no streams, also because it restarted meanwhile."""
-        return runner.dead or runner.holds_up or self.runners.get(runner.instance) is not runner
+        return (
+            runner.dead or runner.blocks_streams or self.runners.get(runner.instance) is not runner
+        )
 
     def is_suspected(self, instance):
         return self.node.gateway.context.upstreams.is_suspected(instance)
--- a/features/notice_world.py
+++ b/features/notice_world.py
@@ -29,7 +29,7 @@
     for name in ("p1", "p2"):
         context.site.add(name, "crm")
     for runner in context.site.runners.values():
-        runner.obeys = False
+        runner.accepts_orders = False
         runner.slots = 96
     context.notices = Notices()
     return context.site
--- a/features/steps/busy_upstream_steps.py
+++ b/features/steps/busy_upstream_steps.py
@@ -23,9 +23,9 @@
 
 
 async def stall_streams(site, seconds):
-    site.runners["x2"].holds_up = True
+    site.runners["x2"].blocks_streams = True
     await trio.sleep(seconds)
-    site.runners["x2"].holds_up = False
+    site.runners["x2"].blocks_streams = False
 
 
 async def drop_traffic(site):
--- a/features/steps/gateway_fault_steps.py
+++ b/features/steps/gateway_fault_steps.py
@@ -67,7 +67,7 @@
 @when("the second upstream blocks streams after {count:d} events but answers probes")
 def holds_up(context, count):
     async def hold(site):
-        site.runners["x2"].holds_up = True
+        site.runners["x2"].blocks_streams = True
 
     ask_while(context, count, hold, rest=1.0)
 
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -3,7 +3,7 @@
 import trio
 from behave import given, then, when
 from gateway_runner import EVENT_SECONDS
-from gateway_story import assert_whole, expected_events, nobody_heals, two_chains
+from gateway_story import assert_whole, expected_events, refuse_orders, two_chains
 from gateway_world import KEY, LAYERS, GatewayWorld, default_config
 
 
@@ -99,7 +99,7 @@
 
 @then("streams run in domain x, and in domain y once x has lost a layer")
 def own_domain_first(context):
-    nobody_heals(context)
+    refuse_orders(context)
 
     async def story(site):
         await site.ask(name="r1")
@@ -226,7 +226,7 @@
 
 @then("a stream runs in the other domain once the first upstream's row says that it is leaving")
 def leaving(context):
-    nobody_heals(context)
+    refuse_orders(context)
 
     async def story(site):
         site.store.put("servers", "x1", site.runners["x1"].row("draining"))
--- a/features/steps/lapsed_rows_steps.py
+++ b/features/steps/lapsed_rows_steps.py
@@ -3,7 +3,7 @@
 import trio
 from behave import then, when
 from gateway_runner import parse_path
-from gateway_story import lapse, nobody_heals, two_chains
+from gateway_story import play_outage, refuse_orders, two_chains
 
 
 @then(
@@ -11,7 +11,7 @@
 )
 def lapsed(context, seconds):
     async def story(site):
-        await lapse(site, site.runners)
+        await play_outage(site, site.runners)
         await trio.sleep(seconds)
         assert (await site.ask()).status == 200
         assert not site.orders
@@ -24,13 +24,13 @@
     "seconds"
 )
 def some_lapsed(context, lapsed, back, seconds):
-    nobody_heals(context)
+    refuse_orders(context)
     context.site.events = 2
     for each in context.site.runners.values():
         each.slots = 96
 
     async def story(site):
-        await lapse(site, [lapsed])
+        await play_outage(site, [lapsed])
         await trio.sleep(0.4)
         context.passed = []
         returned_at = trio.current_time() + seconds
@@ -70,7 +70,7 @@
             if state == "is silent":
                 runner.silent_until = trio.current_time() + 10.0
 
-        await lapse(site, ["x2"], lost)
+        await play_outage(site, ["x2"], lost)
         returned_at = trio.current_time()
         while not site.orders:
             await trio.sleep(0.05)
@@ -87,10 +87,10 @@
 @then("a row still missing {seconds:g} seconds after it counts as gone")
 def lapsed_for_good(context, seconds):
     two_chains(context)
-    nobody_heals(context)
+    refuse_orders(context)
 
     async def story(site):
-        await lapse(site, site.runners)
+        await play_outage(site, site.runners)
         await trio.sleep(seconds + 0.5)
         assert (await site.ask()).status == 503
 
@@ -99,7 +99,7 @@
 
 @then("a stream takes domain y once another upstream has the address of x2")
 def address_taken(context):
-    nobody_heals(context)
+    refuse_orders(context)
 
     async def story(site):
         newer = site.runners["x2"].row()
--- a/features/steps/notice_steps.py
+++ b/features/steps/notice_steps.py
@@ -205,7 +205,7 @@
 @when("the first one has announced it while its row doesn't show it")
 def said_without_store(context):
     for runner in context.site.runners.values():
-        runner.obeys = True
+        runner.accepts_orders = True
 
     async def story(site):
         context.before = len(site.orders)
--- a/features/steps/rate_limit_steps.py
+++ b/features/steps/rate_limit_steps.py
@@ -36,7 +36,7 @@
     for domain in "xy":
         context.site.add(f"{domain}3", "llm", domain, 4, 8)
     for runner in context.site.runners.values():
-        runner.obeys, runner.slots = True, 96
+        runner.accepts_orders, runner.slots = True, 96
 
 
 def limited_names(context):
@@ -137,9 +137,9 @@
 
 async def stage_stalls(site):
     await trio.sleep(4.0)
-    site.runners["x2"].holds_up = True
+    site.runners["x2"].blocks_streams = True
     await trio.sleep(1.5)
-    site.runners["x2"].holds_up = False
+    site.runners["x2"].blocks_streams = False
 
 
 async def stage_lost(site):
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -102,7 +102,7 @@
         site.store.put("servers", "p", row_of("p", start_of(word)))
     elif what == "all rows":
         # A source without a change history sends all of its rows.
-        site.store.tells_all_rows = True
+        site.store.has_no_change_feed = True
         site.store.put("servers", "p", row_of("p", start_of(word)))
     else:
         runner.start = start_of(word)
@@ -113,7 +113,7 @@
         call = what.rpartition(" ")[2].replace("order", "place")
         await exchange_with(site, call, upstream)
     await trio.sleep(0.3)
-    site.store.tells_all_rows = False
+    site.store.has_no_change_feed = False
 
 
 @then("after these reports about one id this start time is known")
@@ -314,7 +314,7 @@
             # The crash happens between the query for the order count and the order.
             runner = site.runners["x3"] = site.runners["x3"].restart(2000, tells=False)
             runner.orders, runner.on_order = 1, refuse
-            await exchange.whole(202, (), json.dumps(runner.told_start).encode())
+            await exchange.whole(202, (), json.dumps(runner.start_fields).encode())
 
         async def refuse(order, exchange):
             times.order = times.order or trio.current_time()
