--- a/deckcourse/gateway/calls.py
+++ b/deckcourse/gateway/calls.py
@@ -22,11 +22,11 @@
 
 __all__ = [
     "Withheld",
-    "is_withheld",
     "check_single_response",
+    "is_withheld",
     "refuse_quarantined",
-    "send_request",
     "schedule_retry_after",
+    "send_request",
     "within_deadline",
 ]
 
--- a/deckcourse/gateway/crash_watch.py
+++ b/deckcourse/gateway/crash_watch.py
@@ -20,7 +20,7 @@
 from deckcourse.peers.crash import Crash
 from deckcourse.peers.gossip import PeerGossip
 
-__all__ = ["CrashWatch", "AttemptStart"]
+__all__ = ["AttemptStart", "CrashWatch"]
 
 # Bound on the queue of broken attempts, far above the number that break off together.
 MAX_QUEUED_BREAKS = 1024
