--- a/deckcourse/decisions/path_load.py
+++ b/deckcourse/decisions/path_load.py
@@ -21,7 +21,7 @@
 
 def passers(paths: Sequence[LayerPath]) -> dict[str, list[str]]:
     """Return for each first stage that other paths pass through, the first stages of those."""
-    firsts = {path.parts[0].instance: path for path in paths}
+    firsts = {path.stages[0].instance: path for path in paths}
     passers_of: dict[str, list[str]] = defaultdict(list)
     for name, path in firsts.items():
         for passed in path.instances & firsts.keys() - {name}:
@@ -43,7 +43,9 @@
       reported_streams: returns the number of streams that an upstream runs, wherever they start.
       passed_by: the `passers` of the paths, if they were computed before.
     """
-    reported = {path.parts[0].instance: reported_streams(path.parts[0].instance) for path in paths}
+    reported = {
+        path.stages[0].instance: reported_streams(path.stages[0].instance) for path in paths
+    }
     started = dict(reported)
     passers_by_stage = passers(paths) if passed_by is None else passed_by
     for _ in range(ITERATIONS):
@@ -62,7 +64,7 @@
     """
     streams_at: dict[str, float] = defaultdict(float)
     for path in paths:
-        count = started.get(path.parts[0].instance, 0.0)
-        for part in path.parts:
+        count = started.get(path.stages[0].instance, 0.0)
+        for part in path.stages:
             streams_at[part.instance] += count
     return streams_at
--- a/deckcourse/decisions/usual_paths.py
+++ b/deckcourse/decisions/usual_paths.py
@@ -24,7 +24,7 @@
       process: the name of the process; each process has its own order.
       count: the number of paths to return.
     """
-    by_first = {each.parts[0].instance: each for each in paths}
+    by_first = {each.stages[0].instance: each for each in paths}
     cheapest = min((each.cost for each in paths), default=1.0)
     weights = {name: (cheapest / each.cost) ** COST_POWER for name, each in by_first.items()}
     return [by_first[name] for name in ranked(process, weights)[:count]]
--- a/deckcourse/gateway/path_choice.py
+++ b/deckcourse/gateway/path_choice.py
@@ -15,7 +15,7 @@
 from deckcourse.gateway.upstreams import UpstreamTable
 from deckcourse.layers.model import ModelSpec
 from deckcourse.layers.path_set import PathSet
-from deckcourse.layers.paths import LayerPath, PathPart
+from deckcourse.layers.paths import LayerPath, PathStage
 from deckcourse.peers.loads import LoadBoard
 
 __all__ = ["PathChoice"]
@@ -152,7 +152,7 @@
         The first stage has slots for requests that begin there, and every stage has memory for the
         requests that pass it.
         """
-        first = self._upstreams.get(path.parts[0].instance)
+        first = self._upstreams.get(path.stages[0].instance)
         if first is None:
             return 0.0
         counts = self._stream_counts("" if path.crossings else path.domain)
@@ -178,7 +178,7 @@
             self._cached_capacities.clear()
         cached = self._cached_capacities.get(id(path))
         if cached is None:
-            capacities = [(each.instance, self._capacity(each)) for each in path.parts]
+            capacities = [(each.instance, self._capacity(each)) for each in path.stages]
             # Keeps a reference to the path, so that its id isn't reused.
             cached = self._cached_capacities[id(path)] = path, capacities
         return cached[1]
@@ -223,7 +223,7 @@
         scale = sum(beginning_at.values()) / domain_total if domain_total else 1.0
         return scale * sum(self._watch.reported(each.instance) for each in self._firsts())
 
-    def _capacity(self, stage: PathPart) -> float:
+    def _capacity(self, stage: PathStage) -> float:
         """Return how many typical requests fit into a stage's memory beside the model weights."""
         row = self._upstreams.get(stage.instance)
         if row is None or self._cached_path_set is None:
@@ -281,7 +281,7 @@
             [
                 each
                 for each in self._paths(model, avoid)
-                if each.parts[0].instance not in backing_off
+                if each.stages[0].instance not in backing_off
             ]
         )
 
@@ -300,11 +300,11 @@
         paths = [
             each
             for each in self._paths(model, avoid | self._refusing()) or self._paths(model, avoid)
-            if each.parts[0].instance not in backing_off
+            if each.stages[0].instance not in backing_off
         ]
         beginning_at = self._stream_counts().beginning_at
         return min(
-            paths, key=lambda each: beginning_at.get(each.parts[0].instance, 0.0), default=None
+            paths, key=lambda each: beginning_at.get(each.stages[0].instance, 0.0), default=None
         )
 
     def _preferred_with_room(self, model: ModelSpec, avoid: frozenset[str]) -> list[LayerPath]:
@@ -338,7 +338,7 @@
 
         None if one accepts them now, or if no path holds every layer.
         """
-        firsts = [each.parts[0].instance for each in self._path_set(model).starts()]
+        firsts = [each.stages[0].instance for each in self._path_set(model).starts()]
         return self._upstreams.first_end(firsts)
 
     def _draw(self, paths: list[LayerPath]) -> LayerPath | None:
@@ -348,7 +348,7 @@
         return [each for each in paths if not self.is_overloaded(each)]
 
     def _score(self, path: LayerPath) -> float:
-        first = path.parts[0].instance
+        first = path.stages[0].instance
         utilization = self._utilization(path)
         load = (
             1.0 + BUSY_WEIGHT * min(utilization, 1.0) + QUEUE_WEIGHT * max(0.0, utilization - 1.0)
@@ -357,7 +357,7 @@
         remote = 1.0 if path.domain == self._domain else REMOTE_WEIGHT
         return path.cost * load * failures * remote
 
-    def onward(self, model: ModelSpec, first: PathPart, avoid: frozenset[str]) -> LayerPath | None:
+    def onward(self, model: ModelSpec, first: PathStage, avoid: frozenset[str]) -> LayerPath | None:
         """Return another path for a running request; its first stage can't change.
 
         Args:
--- a/deckcourse/gateway/stalls.py
+++ b/deckcourse/gateway/stalls.py
@@ -118,7 +118,7 @@
 
     def note_ended(self, upstream: Upstream) -> None:
         """Interrupt or move the streams of an ended incarnation: the next one doesn't hold them."""
-        if any(each.path.parts[0].instance == upstream.instance for each in self._streams):
+        if any(each.path.stages[0].instance == upstream.instance for each in self._streams):
             self._interrupt_streams_of(upstream.instance, "restarted")
         if self._nursery is not None:
             self._nursery.start_soon(self._move_all)
@@ -147,7 +147,7 @@
 
     def _check_streams(self, nursery: trio.Nursery, now: float) -> None:
         stalled_firsts = {
-            each.path.parts[0].instance for each in self._streams if each.is_stalled(now)
+            each.path.stages[0].instance for each in self._streams if each.is_stalled(now)
         }
         for instance in list(self._query_states):
             if instance not in stalled_firsts and not self._query_states[instance].is_in_flight:
@@ -213,8 +213,8 @@
         now = trio.current_time()
         possible_blockers: set[str] = set()
         for stream in self._streams:
-            if stream.path.parts[0].instance == first and stream.is_stalled(now):
-                later_stages = {part.instance for part in stream.path.parts[1:]}
+            if stream.path.stages[0].instance == first and stream.is_stalled(now):
+                later_stages = {part.instance for part in stream.path.stages[1:]}
                 possible_blockers |= later_stages - self._with_events_since(
                     stream.progress_at + SAME_LOSS_SECONDS
                 )
@@ -226,7 +226,7 @@
             part.instance
             for stream in self._streams
             if stream.has_events and stream.progress_at > moment
-            for part in stream.path.parts
+            for part in stream.path.stages
         }
 
     def _due_for_probe(self, instances: set[str]) -> list[Upstream]:
@@ -283,7 +283,7 @@
         affected = [
             each
             for each in self._streams
-            if each.is_at_upstream and each.path.parts[0].instance == instance
+            if each.is_at_upstream and each.path.stages[0].instance == instance
         ]
         interrupted = sum(each.interrupt(Interruption.FIRST_SILENT) for each in affected)
         self._count("stall.first-silent")
@@ -367,7 +367,7 @@
         if not stream.is_at_upstream:
             # A write to the caller is pending; a new path would produce events that nobody reads.
             return False
-        later_stages = [each.instance for each in stream.path.parts[1:]]
+        later_stages = [each.instance for each in stream.path.stages[1:]]
         upstreams = self._upstreams
         return stream.blocking_instance in later_stages or any(
             upstreams.is_suspect(each) or upstreams.has_ended(each) for each in later_stages
@@ -402,9 +402,9 @@
             if not stream.is_at_upstream:
                 return
             path = self._choices(stream.service).onward(
-                stream.model, stream.path.parts[0], frozenset(avoid)
+                stream.model, stream.path.stages[0], frozenset(avoid)
             )
-            first = self._upstreams.last_known(stream.path.parts[0].instance)
+            first = self._upstreams.last_known(stream.path.stages[0].instance)
             if path is None or first is None:
                 break
             elsewhere = path.crossings and self._is_better_elsewhere(stream)
@@ -428,7 +428,7 @@
             "move",
             request=stream.request_id,
             result=str(result),
-            parts=len(path.parts),
+            parts=len(path.stages),
             at_fault=at_fault,
         )
         if result is MoveResult.MOVED:
--- a/deckcourse/gateway/stream.py
+++ b/deckcourse/gateway/stream.py
@@ -140,7 +140,7 @@
                 return refusal
             if not self._context.may_send():
                 return self._give_up(last_failure, NotRunReason.NOT_READY, FULL_RETRY_AFTER_SECONDS)
-            if await self._context.crashes.wait_for_turn(self._admitted, path.parts[0].instance):
+            if await self._context.crashes.wait_for_turn(self._admitted, path.stages[0].instance):
                 if attempts:
                     self._retries.reserve_unused()
                 continue
@@ -161,7 +161,7 @@
             if not self._executions and attempts == MAX_ATTEMPTS:
                 break
             if isinstance(result, _Broken) and not self._has_received_events:
-                first = path.parts[0].instance
+                first = path.stages[0].instance
                 await self._context.crashes.wait_behind_others(self._admitted, first)
         return self._give_up(last_failure, NotRunReason.UPSTREAM_REFUSED, FULL_RETRY_AFTER_SECONDS)
 
@@ -233,7 +233,7 @@
 
     async def _attempt_with_token(self, path: LayerPath) -> _AttemptResult:
         """Attempt a path with a token for its first upstream; gives an unused token back."""
-        token = await self._context.rates.acquire(path.parts[0].instance)
+        token = await self._context.rates.acquire(path.stages[0].instance)
         if token is None:
             return Withheld()
         try:
@@ -243,7 +243,7 @@
 
     async def _attempt(self, path: LayerPath, token: SendingToken) -> _AttemptResult:
         context = self._context
-        first = path.parts[0]
+        first = path.stages[0]
         stream = ActiveStream(
             self._admitted.caller.request_id,
             self._admitted.service.name,
@@ -274,7 +274,7 @@
 
     async def _on_interruption(self, stream: ActiveStream) -> _AttemptResult:
         if stream.interruption is not Interruption.BETTER_ELSEWHERE:
-            self._avoided.add(stream.path.parts[0].instance)
+            self._avoided.add(stream.path.stages[0].instance)
         if stream.interruption is Interruption.FIRST_SILENT:
             await self._report_interrupted(stream)
         self._context.count(f"retry.{RetryReason.STAGE_STALLED}")
@@ -282,7 +282,7 @@
         self._context.log(
             "try-interrupted",
             request=self._admitted.caller.request_id,
-            instance=stream.path.parts[0].instance,
+            instance=stream.path.stages[0].instance,
             why=str(stream.interruption),
             begun=exchange.started,
             torn=exchange.torn,
@@ -293,11 +293,11 @@
     async def _on_failure(
         self, stream: ActiveStream, failure: ConnectionLostError
     ) -> _AttemptResult:
-        instance = stream.path.parts[0].instance
+        instance = stream.path.stages[0].instance
         self._avoided.add(instance)
         if failure.kind is FailureKind.UNSENT:
             self._context.upstreams.suspect(instance, UNREACHABLE_COOLDOWN_SECONDS, lost=True)
-            self._context.pool.forget(stream.path.parts[0].address)
+            self._context.pool.forget(stream.path.stages[0].address)
             self._context.count(f"retry.{RetryReason.UNREACHABLE}")
             return _Refused(RetryReason.UNREACHABLE, failure.message)
         await self._report_interrupted(stream)
@@ -306,7 +306,7 @@
 
     async def _report_interrupted(self, stream: ActiveStream) -> None:
         """Report an interrupted execution unless events came, which clear the request."""
-        upstream = self._context.upstreams.last_known(stream.path.parts[0].instance)
+        upstream = self._context.upstreams.last_known(stream.path.stages[0].instance)
         if upstream is not None and not stream.has_events and not self._has_received_events:
             await self._context.crashes.note_broken(self._admitted, upstream, stream.execution)
 
@@ -318,7 +318,7 @@
         if is_withheld(self._context, token):
             return Withheld()
         dispatch = Dispatch(
-            stream.path.parts[0].instance,
+            stream.path.stages[0].instance,
             admitted.deadline - trio.current_time(),
             admitted.account_name,
             admitted.priority,
@@ -343,7 +343,7 @@
             body = await reply.whole_body()
         if facts.not_run:
             self._executions -= 1
-            self._retries.note_refused(stream.path.parts[0].instance)
+            self._retries.note_refused(stream.path.stages[0].instance)
             return self._on_refusal(stream, reply.status, facts)
         refuse_joined(reply, body)
         return await self._on_other_response(reply, body)
@@ -358,7 +358,7 @@
 
     def _on_refusal(self, stream: ActiveStream, status: int, facts: ReplyFacts) -> _AttemptResult:
         """Record which upstream of the path refused: it is full, lost or lacks its layers."""
-        refusing_instance = stream.path.parts[0].instance
+        refusing_instance = stream.path.stages[0].instance
         if facts.at_fault:
             row = self._context.upstreams.at_address(facts.at_fault, stream.service)
             refusing_instance = row.instance if row is not None else refusing_instance
@@ -395,7 +395,7 @@
         """Record that events came, which clears the request of crashing its upstreams."""
         if not self._has_received_events:
             self._has_received_events = True
-            first = stream.path.parts[0].instance
+            first = stream.path.stages[0].instance
             self._context.crashes.note_ran(self._admitted, first)
             self._context.crashes.end_run(self._admitted, first)
 
@@ -418,7 +418,7 @@
                 request=self._admitted.caller.request_id,
                 event=event.id,
                 waited_ms=round(waited * 1000),
-                instance=stream.path.parts[0].instance,
+                instance=stream.path.stages[0].instance,
                 runs=self._executions,
             )
 
@@ -442,8 +442,8 @@
         self._context.log(
             "try-failed",
             request=self._admitted.caller.request_id,
-            instance=path.parts[0].instance,
-            parts=len(path.parts),
+            instance=path.stages[0].instance,
+            parts=len(path.stages),
             kind=type(result).__name__.strip("_").lower(),
             what=result.message,
             last_event=self._last_event,
--- a/deckcourse/layers/path_set.py
+++ b/deckcourse/layers/path_set.py
@@ -13,7 +13,7 @@
 
 from deckcourse.layers.hosts import LayerHost
 from deckcourse.layers.model import ModelSpec
-from deckcourse.layers.paths import LayerPath, PathFinder, PathPart
+from deckcourse.layers.paths import LayerPath, PathFinder, PathStage
 
 __all__ = ["PathSet"]
 
@@ -45,7 +45,7 @@
         self._previous_inside = before._inside if same_model else {}
         self._hosts = tuple(each for each in hosts if each.usable and not each.empty)
         self._starts: dict[frozenset[str], list[LayerPath]] = {}
-        self._onward: dict[tuple[PathPart, str, frozenset[str]], LayerPath | None] = {}
+        self._onward: dict[tuple[PathStage, str, frozenset[str]], LayerPath | None] = {}
 
     @property
     def model(self) -> ModelSpec:
@@ -72,7 +72,7 @@
             self._inside_of[domain] = self._find_inside(domain_hosts) if domain_hosts else []
         return self._inside_of[domain]
 
-    def onward(self, first: PathPart, domain: str, avoid: frozenset[str]) -> LayerPath | None:
+    def onward(self, first: PathStage, domain: str, avoid: frozenset[str]) -> LayerPath | None:
         """Return the best path with a given first stage, None if there is none.
 
         Args:
@@ -111,7 +111,9 @@
             self._inside[members] = paths
         return self._inside[members]
 
-    def _find_onward(self, first: PathPart, domain: str, avoid: frozenset[str]) -> LayerPath | None:
+    def _find_onward(
+        self, first: PathStage, domain: str, avoid: frozenset[str]
+    ) -> LayerPath | None:
         hosts = self._hosts_except(avoid)
         inside = [each for each in hosts if each.domain == domain]
         path = PathFinder(self._model, inside, (first.end,)).cheapest_path_after(first, domain)
@@ -144,7 +146,7 @@
                 path_counts.subtract(path.instances)
                 paths[index] = self._path_avoiding_load(finder, hosts, path_counts, path)
                 path_counts.update(paths[index].instances)
-        return [replace(each, cost=finder.cost(each.parts)) for each in paths]
+        return [replace(each, cost=finder.cost(each.stages)) for each in paths]
 
     def _max_memory_load(
         self, hosts: Mapping[str, LayerHost], path: LayerPath, path_counts: Counter[str]
@@ -173,5 +175,5 @@
             name: 1.0 + FULL_WEIGHT * self._memory_load(hosts[name], path_count) ** 2
             for name, path_count in path_counts.items()
         }
-        first = hosts[start.parts[0].instance]
+        first = hosts[start.stages[0].instance]
         return finder.slowed(load_factors).cheapest_path_from(first) or start
--- a/deckcourse/layers/paths.py
+++ b/deckcourse/layers/paths.py
@@ -15,7 +15,7 @@
 from deckcourse.layers.hosts import PREFERRED_FILL, LayerHost
 from deckcourse.layers.model import HOP_MS, ModelSpec
 
-__all__ = ["LayerPath", "PathFinder", "PathPart"]
+__all__ = ["LayerPath", "PathFinder", "PathStage"]
 
 # Cost of crossing between failure domains, milliseconds of a usual request. All requests that cross
 # a link share it, and some 27 of them a second fill it (trials): a path crosses only if none stays
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True)
-class PathPart:
+class PathStage:
     """A stage: one upstream and the layers `first` to `end` (exclusive) that it runs."""
 
     instance: str
@@ -45,7 +45,7 @@
     `crossings` is the number of times that it changes the failure domain.
     """
 
-    parts: tuple[PathPart, ...]
+    stages: tuple[PathStage, ...]
     domain: str
     cost: float
     crossings: int = 0
@@ -53,7 +53,7 @@
     @cached_property
     def instances(self) -> frozenset[str]:
         """The upstreams on the path."""
-        return frozenset(each.instance for each in self.parts)
+        return frozenset(each.instance for each in self.stages)
 
 
 class _Continuation(NamedTuple):
@@ -222,14 +222,14 @@
         continuation = self._best_continuation([_Candidate(host, 0)], 0)
         return None if continuation is None else self._build_path(continuation, ())
 
-    def cost(self, parts: Sequence[PathPart]) -> float:
+    def cost(self, parts: Sequence[PathStage]) -> float:
         """Return the cost of a path over known hosts of one failure domain."""
         execution_cost = sum(
             (each.end - each.first) * self._layer_ms[each.instance] for each in parts
         )
         return execution_cost + (len(parts) - 1) * HOP_MS * self._model.usual_answer
 
-    def cheapest_path_after(self, first: PathPart, domain: str) -> LayerPath | None:
+    def cheapest_path_after(self, first: PathStage, domain: str) -> LayerPath | None:
         """Return the best path with a given first stage, None if there is none."""
         if first.end >= self._model.layers:
             return LayerPath((first,), domain, 0.0)
@@ -237,7 +237,7 @@
         return None if continuation is None else self._build_path(continuation, (first,), domain)
 
     def _build_path(
-        self, continuation: _Continuation, stages_before: tuple[PathPart, ...], domain: str = ""
+        self, continuation: _Continuation, stages_before: tuple[PathStage, ...], domain: str = ""
     ) -> LayerPath | None:
         stages = list(stages_before)
         cost = continuation.cost
@@ -248,7 +248,7 @@
             host = continuation.host
             crossings += host.domain != last_domain
             last_domain = host.domain
-            _append_stage(stages, PathPart(host.instance, host.address, start, continuation.end))
+            _append_stage(stages, PathStage(host.instance, host.address, start, continuation.end))
             if continuation.end >= self._model.layers:
                 break
             start = continuation.end
@@ -258,7 +258,7 @@
         return LayerPath(tuple(stages), domain, cost, crossings)
 
 
-def _append_stage(stages: list[PathPart], stage: PathPart) -> None:
+def _append_stage(stages: list[PathStage], stage: PathStage) -> None:
     """Append a stage; a path that returns to a host lets it run the layers in between as well.
 
     An engine rejects a path that names an upstream twice, and a host's range has no gaps.
@@ -266,6 +266,6 @@
     for index, earlier in enumerate(stages):
         if earlier.instance == stage.instance:
             del stages[index:]
-            stage = PathPart(earlier.instance, earlier.address, earlier.first, stage.end)
+            stage = PathStage(earlier.instance, earlier.address, earlier.first, stage.end)
             break
     stages.append(stage)
--- a/deckcourse/platform/dialect.py
+++ b/deckcourse/platform/dialect.py
@@ -115,7 +115,7 @@
 
 def format_path(path: LayerPath) -> str:
     """Return a path in the runners' format: IP:PORT=FIRST-END for each stage, joined by commas."""
-    return ",".join(f"{each.address}={each.first}-{each.end}" for each in path.parts)
+    return ",".join(f"{each.address}={each.first}-{each.end}" for each in path.stages)
 
 
 def _number(text: bytes) -> int | None:
--- a/features/layer_world.py
+++ b/features/layer_world.py
@@ -103,14 +103,16 @@
         return 1.0 / model.places(host.kind, host.end - host.first, part.end - part.first)
 
     def has_capacity(path):
-        slots = (started[path.parts[0].instance] + 1) / model.requests
-        return max(slots, *(used[each.instance] + memory_share(each) for each in path.parts)) <= 1.0
+        slots = (started[path.stages[0].instance] + 1) / model.requests
+        return (
+            max(slots, *(used[each.instance] + memory_share(each) for each in path.stages)) <= 1.0
+        )
 
     rate = 0.0
     for path in PathSet(model, hosts).starts():
         while has_capacity(path):
-            started[path.parts[0].instance] += 1
-            for each in path.parts:
+            started[path.stages[0].instance] += 1
+            for each in path.stages:
                 used[each.instance] += memory_share(each)
             rate += 1000.0 / path.cost
     return rate
--- a/features/mutants_peers.py
+++ b/features/mutants_peers.py
@@ -66,7 +66,7 @@
 
 
 def told_as_it_is(paths, running, passed_by):
-    return {path.parts[0].instance: running(path.parts[0].instance) for path in paths}
+    return {path.stages[0].instance: running(path.stages[0].instance) for path in paths}
 
 
 def the_best_path_always():
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -8,11 +8,13 @@
 from deckcourse.decisions.path_draw import draw_path
 from deckcourse.decisions.path_load import begun_at, passing
 from deckcourse.decisions.usual_paths import usual_paths
-from deckcourse.layers.paths import LayerPath, PathPart
+from deckcourse.layers.paths import LayerPath, PathStage
 
 
 def path_over(names, cost=1000.0):
-    parts = tuple(PathPart(name, f"{name}:1", index, index + 1) for index, name in enumerate(names))
+    parts = tuple(
+        PathStage(name, f"{name}:1", index, index + 1) for index, name in enumerate(names)
+    )
     return LayerPath(parts, "x", cost)
 
 
@@ -55,10 +57,10 @@
     random = Random(seed)
 
     def score(path):
-        return path.cost * (1.0 + 5.0 * context.running[path.parts[0].instance] / context.slots)
+        return path.cost * (1.0 + 5.0 * context.running[path.stages[0].instance] / context.slots)
 
     context.chosen = Counter(
-        draw_path(context.paths, score, random).parts[0].instance for _ in range(arrivals)
+        draw_path(context.paths, score, random).stages[0].instance for _ in range(arrivals)
     )
 
 
@@ -82,7 +84,7 @@
     # With equal scores the first of the two drawn paths is chosen.
     context.count = count
     context.chosen = Counter(
-        draw_path(paths, lambda path: 1.0, random).parts[0].instance for _ in range(count)
+        draw_path(paths, lambda path: 1.0, random).stages[0].instance for _ in range(count)
     )
 
 
@@ -101,7 +103,7 @@
 @when("each of {processes:d} processes prefers {count:d} of them")
 def processes_prefer(context, processes, count):
     preferred = [usual_paths(context.paths, f"p{each}", count) for each in range(processes)]
-    context.firsts = [[path.parts[0].instance for path in paths] for paths in preferred]
+    context.firsts = [[path.stages[0].instance for path in paths] for paths in preferred]
     assert all(len(set(each)) == min(count, len(context.paths)) for each in context.firsts)
 
 
@@ -114,4 +116,4 @@
 @then("each path is preferred by at least {min_count:d} processes")
 def preferred_by(context, min_count):
     counts = Counter(name for each in context.firsts for name in each)
-    assert min(counts[each.parts[0].instance] for each in context.paths) >= min_count, counts
+    assert min(counts[each.stages[0].instance] for each in context.paths) >= min_count, counts
--- a/features/steps/interruption_steps.py
+++ b/features/steps/interruption_steps.py
@@ -141,7 +141,7 @@
 
     async def lose_second(streams):
         gateway = context.site.node.gateway.context
-        (second,) = {each.path.parts[1].instance for each in streams}
+        (second,) = {each.path.stages[1].instance for each in streams}
         context.site.runners[second].die()
         gateway.upstreams.suspect(second, 1.0, lost=True)
         await gateway.monitor._move_all()
--- a/features/steps/late_answer_steps.py
+++ b/features/steps/late_answer_steps.py
@@ -38,7 +38,7 @@
 from deckcourse.http1.message import header_value
 from deckcourse.http1.server import IncomingRequest
 from deckcourse.layers.hosts import Assignment
-from deckcourse.layers.paths import LayerPath, PathPart
+from deckcourse.layers.paths import LayerPath, PathStage
 from deckcourse.platform.dialect import PlatformDialect
 from deckcourse.platform.runners import RunnerControl
 
@@ -324,7 +324,7 @@
             count = await self.control.order_count(self.upstream)
             return "unanswered" if count is None else f"{count} orders"
         if what == "move":
-            path = LayerPath((PathPart("u", ADDRESS, 0, LAYERS),), "x", 0, 1.0)
+            path = LayerPath((PathStage("u", ADDRESS, 0, LAYERS),), "x", 0, 1.0)
             result, _ = await self.control.move(self.upstream, "r1", path)
             return str(result)
         if what == "pulse":
--- a/features/steps/path_steps.py
+++ b/features/steps/path_steps.py
@@ -28,7 +28,7 @@
 
 def runs_each_once(path, layers):
     end = 0
-    for part in path.parts:
+    for part in path.stages:
         if part.first != end or part.end <= part.first:
             return False
         end = part.end
@@ -64,9 +64,9 @@
         return
     assert runs_each_once(starts[0], 80)
     if path == "one switch":
-        assert len(starts[0].parts) == 2
+        assert len(starts[0].stages) == 2
         return
-    got = {each.instance: (each.first, each.end) for each in starts[0].parts}
+    got = {each.instance: (each.first, each.end) for each in starts[0].stages}
     assert got == ranges(path), got
 
 
@@ -80,10 +80,10 @@
         assert bool(starts) == is_whole, (seed, hosts)
         for path in starts:
             assert runs_each_once(path, 80), (seed, path)
-            names = [each.instance for each in path.parts]
+            names = [each.instance for each in path.stages]
             assert len(names) == len(set(names))
             held = {each.instance: each for each in hosts}
-            for part in path.parts:
+            for part in path.stages:
                 assert held[part.instance].first <= part.first < part.end <= held[part.instance].end
 
 
@@ -91,7 +91,7 @@
 def paths_of_domain(context, domain, paths):
     paths_found = PathSet(context.model, context.hosts).starts()
     got = [
-        " ".join(part.instance for part in each.parts)
+        " ".join(part.instance for part in each.stages)
         for each in paths_found
         if each.domain == domain
     ]
@@ -108,7 +108,7 @@
     for seed in range(count):
         hosts = random_hosts(Random(seed), 16, firsts, 60)
         starts = PathSet(model, hosts).starts()
-        expected = {each.parts[0].instance for each in PathFinder(model, hosts).cheapest_paths()}
-        assert {each.parts[0].instance for each in starts} == expected, seed
+        expected = {each.stages[0].instance for each in PathFinder(model, hosts).cheapest_paths()}
+        assert {each.stages[0].instance for each in starts} == expected, seed
         for path in starts:
             assert runs_each_once(path, 80), (seed, path)
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -16,7 +16,7 @@
 from deckcourse.http1.message import header_value
 from deckcourse.http1.server import IncomingRequest
 from deckcourse.layers.hosts import Assignment
-from deckcourse.layers.paths import LayerPath, PathPart
+from deckcourse.layers.paths import LayerPath, PathStage
 from deckcourse.peers.replica import TableReplica, TableUpdate
 from deckcourse.platform.dialect import PlatformDialect
 from deckcourse.platform.rows import PlatformRows
@@ -77,7 +77,7 @@
     return {**row, **start}
 
 
-MOVED = LayerPath((PathPart("p", "p:1", 0, LAYERS),), "x", 0, 1.0)
+MOVED = LayerPath((PathStage("p", "p:1", 0, LAYERS),), "x", 0, 1.0)
 
 
 async def exchange_with(site, what, upstream):
--- a/features/steps/stall_steps.py
+++ b/features/steps/stall_steps.py
@@ -10,7 +10,7 @@
 from deckcourse.gateway.upstream import Upstream
 from deckcourse.gateway.upstreams import UpstreamTable
 from deckcourse.layers.model import ModelSpec
-from deckcourse.layers.paths import LayerPath, PathPart
+from deckcourse.layers.paths import LayerPath, PathStage
 
 EVENT_SECONDS = 0.02
 
@@ -30,7 +30,9 @@
 
 
 def stream_over(names, number):
-    parts = tuple(PathPart(name, f"{name}:1", index, index + 1) for index, name in enumerate(names))
+    parts = tuple(
+        PathStage(name, f"{name}:1", index, index + 1) for index, name in enumerate(names)
+    )
     path = LayerPath(parts, "x", 1.0)
     return ActiveStream(
         f"r{number}", "s", ModelSpec("m", len(names), 1.0), path, 0.0, has_events=True
