--- a/deckcourse/gateway/node.py
+++ b/deckcourse/gateway/node.py
@@ -392,7 +392,7 @@
 
     def _report_lost_upstream(self, domain: str) -> None:
         for healer in self._healers.values():
-            healer.witness(domain)
+            healer.record_failure(domain)
 
     def _note_ended(self, older: Upstream) -> None:
         """Drop the state of a superseded incarnation after its upstream restarted."""
@@ -455,4 +455,4 @@
         for service, healer in self._healers.items():
             model = self._model_of(service)
             if model is not None and model.name == record.model:
-                healer.hear(group, model, record)
+                healer.on_plan(group, model, record)
--- a/deckcourse/gateway/path_choice.py
+++ b/deckcourse/gateway/path_choice.py
@@ -195,9 +195,9 @@
             paths: list[LayerPath] = []
             if self._cached_path_set is not None:
                 paths = (
-                    self._cached_path_set[1].inside(domain)
+                    self._cached_path_set[1].paths_inside(domain)
                     if domain
-                    else self._cached_path_set[1].starts()
+                    else self._cached_path_set[1].all_paths()
                 )
             begun = begun_at(paths, self._watch.running, self._find_passers(domain, paths))
             beginning_at = {name: each + self._watch.waiting(name) for name, each in begun.items()}
@@ -309,7 +309,7 @@
 
     def _preferred_with_room(self, model: ModelSpec, avoid: frozenset[str]) -> list[LayerPath]:
         """Return the preferred paths inside this process's domain that have room."""
-        inside = self._path_set(model).inside(self._domain)
+        inside = self._path_set(model).paths_inside(self._domain)
         if self._preferred[0] is not inside:
             self._preferred = inside, usual_paths(inside, self._process, len(inside))
         avoiding = (each for each in self._preferred[1] if not each.instances & avoid)
@@ -318,8 +318,8 @@
 
     def _paths(self, model: ModelSpec, avoid: frozenset[str]) -> list[LayerPath]:
         paths = self._path_set(model)
-        avoiding = [each for each in paths.starts() if not each.instances & avoid]
-        return avoiding or paths.starts(avoid)
+        avoiding = [each for each in paths.all_paths() if not each.instances & avoid]
+        return avoiding or paths.all_paths(avoid)
 
     def _path_set(self, model: ModelSpec) -> PathSet:
         key = (self._upstreams.changes, model)
@@ -328,7 +328,7 @@
             hosts = self._upstreams.layer_hosts(self._service)
             listed = [each for each in hosts if not each.lapsing]
             paths = PathSet(model, listed, before)
-            if len(listed) < len(hosts) and not paths.starts():
+            if len(listed) < len(hosts) and not paths.all_paths():
                 paths = PathSet(model, hosts, before)
             self._cached_path_set = (key, paths)
         return self._cached_path_set[1]
@@ -338,7 +338,7 @@
 
         None if one accepts them now, or if no path holds every layer.
         """
-        firsts = [each.stages[0].instance for each in self._path_set(model).starts()]
+        firsts = [each.stages[0].instance for each in self._path_set(model).all_paths()]
         return self._upstreams.first_end(firsts)
 
     def _draw(self, paths: list[LayerPath]) -> LayerPath | None:
@@ -371,4 +371,4 @@
         row = self._upstreams.last_known(first.instance)
         if row is None:
             return None
-        return self._path_set(model).onward(first, row.domain, avoid)
+        return self._path_set(model).path_after(first, row.domain, avoid)
--- a/deckcourse/layers/cuts.py
+++ b/deckcourse/layers/cuts.py
@@ -103,7 +103,7 @@
             load = end - first - overlap if overlap > 0 else end - first
             if load > spare_layers:
                 continue
-            if keeps_layers and load and not _joined(host, first, end, max_layers):
+            if keeps_layers and load and not _is_joinable(host, first, end, max_layers):
                 continue
             cost = (uncovered, max(max_load, load), total_load + load)
             if end not in best or cost < best[end][:3]:
@@ -111,7 +111,7 @@
     return best
 
 
-def _joined(host: LayerHost, first: int, end: int, max_layers: int) -> bool:
+def _is_joinable(host: LayerHost, first: int, end: int, max_layers: int) -> bool:
     """Return whether a range and a host's own range form one range that the host has room for."""
     is_touching = first <= host.end and host.first <= end
     return is_touching and max(end, host.end) - min(first, host.first) <= max_layers
--- a/deckcourse/layers/healer.py
+++ b/deckcourse/layers/healer.py
@@ -36,10 +36,10 @@
 SETTLING_SECONDS = 1.2
 # How long after its claim began a plan's orders may be sent, seconds: a process that was paused in
 # between sends none.
-ORDER_SECONDS = 1.5
+ORDER_TIMEOUT_SECONDS = 1.5
 # An upstream that is busy with an order rejects the next one, and one that didn't answer may still
 # carry its order out: neither gets orders for this long, seconds.
-BUSY_SECONDS = 0.6
+BUSY_COOLDOWN_SECONDS = 0.6
 # Cooldown of an upstream that drops accepted orders, seconds.
 UNRELIABLE_COOLDOWN_SECONDS = 10.0
 # After a plan, layers are dropped only after this long, seconds: one change at a time, and gaps
@@ -120,7 +120,7 @@
         # The last inputs with which a group needed no orders: they aren't planned for again.
         self._satisfied_inputs: dict[str, _PlanInput] = {}
 
-    def witness(self, domain: str) -> None:
+    def record_failure(self, domain: str) -> None:
         """Record that this process itself saw an upstream of a failure domain fail.
 
         It is forgotten once a plan is made for the domain. Otherwise, after some losses most
@@ -133,13 +133,13 @@
         while True:
             spec = model()
             if spec is not None and allowed():
-                await self._round(spec)
+                await self._check(spec)
             hosts = len(self._host_names)
             await trio.sleep(max(CHECK_INTERVAL_SECONDS, CHECK_INTERVAL_SECONDS_PER_HOST * hosts))
 
-    async def _round(self, model: ModelSpec) -> None:
+    async def _check(self, model: ModelSpec) -> None:
         now = trio.current_time()
-        self._drop_done(now)
+        self._drop_finished_orders(now)
         for group in self._groups(model, now):
             await self._plan(model, group, now)
 
@@ -181,7 +181,7 @@
             self._sender.keep_only(names)
             self._settled_at = now + SETTLING_SECONDS
 
-    def _drop_done(self, now: float) -> None:
+    def _drop_finished_orders(self, now: float) -> None:
         for instance, pending in list(self._pending.items()):
             row = self._upstreams.get(instance)
             holds_range = row is not None and (row.first, row.end) == (pending.first, pending.end)
@@ -212,7 +212,7 @@
 
     def _wait_seconds(self, group: Group) -> float:
         """Return how long this process waits for others to plan, with jitter drawn once a need."""
-        record = self._book.known(group.name)
+        record = self._book.last_plan(group.name)
         if record is not None and record.author == self._book.author:
             return 0.0
         base = TURN_SECONDS
@@ -225,8 +225,8 @@
     async def _claim(
         self, model: ModelSpec, group: Group, assignments: tuple[Assignment, ...]
     ) -> None:
-        deadline = trio.current_time() + ORDER_SECONDS
-        self._note_planned(group.name)
+        deadline = trio.current_time() + ORDER_TIMEOUT_SECONDS
+        self._record_planned(group.name)
         with trio.move_on_at(deadline):
             match await self._book.claim(group.name, model.name, assignments):
                 case PlanWon(record):
@@ -242,12 +242,12 @@
                 case _:
                     self._log("plan-unanswered", group=group.name)
 
-    def hear(self, group: str, model: ModelSpec, record: PlanRecord) -> None:
+    def on_plan(self, group: str, model: ModelSpec, record: PlanRecord) -> None:
         """Mark the orders of a plan that another process just made as pending."""
-        self._note_planned(group)
+        self._record_planned(group)
         self._mark_pending(model, record)
 
-    def _note_planned(self, group: str) -> None:
+    def _record_planned(self, group: str) -> None:
         """Record that a plan for the group's need exists or is being written."""
         self._needed_since.pop(group, None)
         self._wait_jitter.pop(group, None)
@@ -305,7 +305,7 @@
             unreliable_until = trio.current_time() + UNRELIABLE_COOLDOWN_SECONDS
             self._pending[row.instance] = _Pending(row.first, row.end, unreliable_until, True)
         elif result in (OrderResult.CONFLICT, OrderResult.UNANSWERED):
-            busy_until = trio.current_time() + BUSY_SECONDS
+            busy_until = trio.current_time() + BUSY_COOLDOWN_SECONDS
             self._pending[row.instance] = _Pending(row.first, row.end, busy_until, True)
         elif result not in (OrderResult.TAKEN, OrderResult.HELD):
             self._pending.pop(assignment.instance, None)
--- a/deckcourse/layers/layouts.py
+++ b/deckcourse/layers/layouts.py
@@ -19,7 +19,15 @@
 from deckcourse.layers.model import ModelSpec
 from deckcourse.layers.slices import slice_sizes
 
-__all__ = ["LAYOUTS", "Copy", "Layout", "best_layout", "by_speed", "interleaved", "layout_rate"]
+__all__ = [
+    "LAYOUT_FUNCTIONS",
+    "Copy",
+    "Layout",
+    "best_layout",
+    "by_speed",
+    "interleaved",
+    "layout_rate",
+]
 
 Copy = tuple[Assignment, ...]
 Layout = tuple[Copy, ...]
@@ -31,7 +39,7 @@
 FIRST_PLACEMENT_FILL = 0.70
 # Maximum number of additional first stages of a copy: each is missing from the rest of the copy,
 # but with two of them a copy of the smallest kinds admits three times as many requests.
-MOST_STARTERS = 2
+MAX_EXTRA_FIRST_STAGES = 2
 # Minimum relative gain of a less simple layout: the measure is no more exact than that.
 MIN_GAIN = 0.05
 # Layers are distributed in a copy in proportion to memory times speed to one of these powers, so
@@ -50,7 +58,7 @@
 def best_layout(model: ModelSpec, group: Group) -> Layout:
     """Return the layout of empty hosts that serves the most streams, empty if none fits."""
     for fill in (FIRST_PLACEMENT_FILL, MAX_FILL):
-        layouts = [layout_function(model, group, fill) for layout_function in LAYOUTS]
+        layouts = [layout_function(model, group, fill) for layout_function in LAYOUT_FUNCTIONS]
         best = max(layouts, key=lambda each: layout_rate(model, group, each))
         if best:
             break
@@ -118,7 +126,7 @@
         """
         model = self._model
         best: tuple[float, tuple[HeldLayers, ...]] = (0.0, ())
-        for extra_stages in range(MOST_STARTERS + 1):
+        for extra_stages in range(MAX_EXTRA_FIRST_STAGES + 1):
             if best[1] and extra_stages * model.requests >= memory_capacity(model, best[1]):
                 break
             first_stages = tuple(_first_stage(model, each) for each in kinds[:extra_stages])
@@ -189,7 +197,7 @@
 
 
 # The layout functions whose results are compared.
-LAYOUTS: tuple[LayoutFunction, ...] = (interleaved, by_speed)
+LAYOUT_FUNCTIONS: tuple[LayoutFunction, ...] = (interleaved, by_speed)
 
 
 def _speed_key(model: ModelSpec, host: LayerHost) -> tuple[float, float]:
--- a/deckcourse/layers/path_set.py
+++ b/deckcourse/layers/path_set.py
@@ -20,7 +20,7 @@
 # Weight of a host's memory load: added to its cost factor if the paths over it admit exactly the
 # streams that fill its memory, four times as much if they fill it twice. The pace of the sites'
 # kinds differs by a factor of up to 6.7, so a path changes to another kind before it fills a host.
-FULL_WEIGHT = 3.0
+LOAD_WEIGHT = 3.0
 # Number of paths of one domain that are spread over its hosts; further ones are the best from their
 # first stages.
 MAX_SPREAD_PATHS = 12
@@ -52,7 +52,7 @@
         """The model whose layers the paths run."""
         return self._model
 
-    def starts(self, avoid: frozenset[str] = frozenset()) -> list[LayerPath]:
+    def all_paths(self, avoid: frozenset[str] = frozenset()) -> list[LayerPath]:
         """Return a path from each host that can be a first stage, cheapest first.
 
         Args:
@@ -62,7 +62,7 @@
             self._starts[avoid] = self._find_starts(avoid)
         return self._starts[avoid]
 
-    def inside(self, domain: str) -> list[LayerPath]:
+    def paths_inside(self, domain: str) -> list[LayerPath]:
         """Return the paths inside a domain, none if it lacks a layer.
 
         Paths of other domains, which most requests don't need, are not computed.
@@ -72,7 +72,7 @@
             self._inside_of[domain] = self._find_inside(domain_hosts) if domain_hosts else []
         return self._inside_of[domain]
 
-    def onward(self, first: PathStage, domain: str, avoid: frozenset[str]) -> LayerPath | None:
+    def path_after(self, first: PathStage, domain: str, avoid: frozenset[str]) -> LayerPath | None:
         """Return the best path with a given first stage, None if there is none.
 
         Args:
@@ -172,7 +172,7 @@
     ) -> LayerPath:
         """Return the best path from another path's first stage, given the load of paths in use."""
         load_factors = {
-            name: 1.0 + FULL_WEIGHT * self._memory_load(hosts[name], path_count) ** 2
+            name: 1.0 + LOAD_WEIGHT * self._memory_load(hosts[name], path_count) ** 2
             for name, path_count in path_counts.items()
         }
         first = hosts[start.stages[0].instance]
--- a/deckcourse/layers/paths.py
+++ b/deckcourse/layers/paths.py
@@ -20,7 +20,7 @@
 # Cost of crossing between failure domains, milliseconds of a usual request. All requests that cross
 # a link share it, and some 27 of them a second fill it (trials): a path crosses only if none stays
 # inside a domain, and then as rarely as possible.
-CROSSING_MS = 5_000.0
+CROSSING_COST_MS = 5_000.0
 # Cost factor of an upstream by how far its fill exceeds `PREFERRED_FILL`: requests prefer another
 # upstream that holds the same layers and has more memory for them.
 FILL_PENALTY = 3.0
@@ -130,7 +130,9 @@
         if domain == other:
             return hop
         return (
-            hop + CROSSING_MS + self._model.delay(domain, other) * 1000 * self._model.usual_answer
+            hop
+            + CROSSING_COST_MS
+            + self._model.delay(domain, other) * 1000 * self._model.usual_answer
         )
 
     def _find_candidates(self) -> dict[int, dict[str, list[_Candidate]]]:
--- a/deckcourse/layers/plan_book.py
+++ b/deckcourse/layers/plan_book.py
@@ -76,7 +76,7 @@
         """The name under which this process writes plans."""
         return self._author
 
-    def known(self, group: str) -> PlanRecord | None:
+    def last_plan(self, group: str) -> PlanRecord | None:
         """Return the last plan of a group that this process read or wrote."""
         return self._plans.get(group)
 
@@ -103,14 +103,14 @@
         match await self._table.read([KEY_PREFIX + group]):
             case Success((row,)):
                 self._store(group, row, None if row is None else _decode(row))
-        return self.known(group)
+        return self.last_plan(group)
 
     async def claim(
         self, group: str, model: str, assignments: tuple[Assignment, ...]
     ) -> PlanWon | ClaimLost | ClaimUnanswered:
         """Write the next plan of a group unless another process wrote one since the last read."""
         row = self._rows.get(group)
-        last_plan = self.known(group)
+        last_plan = self.last_plan(group)
         number = 1 if last_plan is None else last_plan.number + 1
         record = PlanRecord(number, self._author, model, assignments)
         value = msgspec.json.encode(record)
--- a/features/healer_standins.py
+++ b/features/healer_standins.py
@@ -42,7 +42,7 @@
         for book, healer, model in self.listeners:
             record = book.note(self._rows[key])
             if record is not None:
-                healer.hear(key.partition("/")[2], model, record)
+                healer.on_plan(key.partition("/")[2], model, record)
 
 
 class CountingOrderer:
--- a/features/layer_world.py
+++ b/features/layer_world.py
@@ -109,7 +109,7 @@
         )
 
     rate = 0.0
-    for path in PathSet(model, hosts).starts():
+    for path in PathSet(model, hosts).all_paths():
         while has_capacity(path):
             started[path.stages[0].instance] += 1
             for each in path.stages:
--- a/features/mutants_gateway.py
+++ b/features/mutants_gateway.py
@@ -208,22 +208,22 @@
 
 
 def late_orders():
-    healer_module.ORDER_SECONDS = 1000.0
+    healer_module.ORDER_TIMEOUT_SECONDS = 1000.0
 
 
 def busy_upstreams_pestered():
-    healer_module.BUSY_SECONDS = 0.0
+    healer_module.BUSY_COOLDOWN_SECONDS = 0.0
 
 
 def crossing_is_cheap():
-    paths_module.CROSSING_MS = 0.0
+    paths_module.CROSSING_COST_MS = 0.0
 
 
 def no_healing():
     async def nothing(self, model):
         return None
 
-    Healer._round = nothing
+    Healer._check = nothing
 
 
 def nobody_is_moved():
@@ -306,11 +306,11 @@
 
 
 def paths_share_hosts():
-    path_set_module.FULL_WEIGHT = 0.0
+    path_set_module.LOAD_WEIGHT = 0.0
 
 
 def widening_leaps():
-    cuts_module._joined = lambda host, first, end, room: (
+    cuts_module._is_joinable = lambda host, first, end, room: (
         max(end, host.end) - min(first, host.first) <= room
     )
 
--- a/features/mutants_peers.py
+++ b/features/mutants_peers.py
@@ -46,11 +46,11 @@
 
 
 def one_first_host_a_copy():
-    layouts_module.MOST_STARTERS = 0
+    layouts_module.MAX_EXTRA_FIRST_STAGES = 0
 
 
 def copies_mix_kinds():
-    layouts_module.LAYOUTS = (layouts_module.interleaved,)
+    layouts_module.LAYOUT_FUNCTIONS = (layouts_module.interleaved,)
 
 
 def slow_paths_count_as_fast():
@@ -78,18 +78,18 @@
 
 
 def plans_are_not_told():
-    Healer.hear = lambda self, group, model, record: None
+    Healer.on_plan = lambda self, group, model, record: None
 
 
 def witnesses_hurry_for_good():
-    original = Healer._note_planned
+    original = Healer._record_planned
 
     def note_planned(self, group):
         witnessed = set(self._witnessed)
         original(self, group)
         self._witnessed = witnessed
 
-    Healer._note_planned = note_planned
+    Healer._record_planned = note_planned
 
 
 def allowance_never_grows():
--- a/features/steps/foreign_frame_steps.py
+++ b/features/steps/foreign_frame_steps.py
@@ -416,9 +416,9 @@
         book = PlanBook(MemoryTable(), "n/1")
         healer = Healer("llm", upstreams, book, None, Random(1), lambda *_, **__: None)
         record = book.note(Row(f"{PLAN_TABLE}/x", 3, value))
-        assert book.known("x") is None or 0 < book.known("x").number < 2**63
+        assert book.last_plan("x") is None or 0 < book.last_plan("x").number < 2**63
         if record is not None:
-            healer.hear("x", MODEL, record)
+            healer.on_plan("x", MODEL, record)
 
     @reproducible(count)
     @hypothesis_given(mutated(plan_of()))
--- a/features/steps/gateway_healing_steps.py
+++ b/features/steps/gateway_healing_steps.py
@@ -80,13 +80,13 @@
 def fault_told(context):
     async def story(site):
         healer = site.node._healers["llm"]
-        kept = healer._drop_done
+        kept = healer._drop_finished_orders
 
         def broken(now):
-            healer._drop_done = kept
+            healer._drop_finished_orders = kept
             raise KeyError("made by the test")
 
-        healer._drop_done = broken
+        healer._drop_finished_orders = broken
         await trio.sleep(0.5)
         assert (await site.ask()).status == 200
         site.runners["x2"].die()
--- a/features/steps/healer_steps.py
+++ b/features/steps/healer_steps.py
@@ -45,7 +45,7 @@
         return await context.books[0].claim("g", "m", ())
 
     assert isinstance(trio.run(claim), ClaimUnanswered)
-    assert context.books[0].known("g").number == 2
+    assert context.books[0].last_plan("g").number == 2
     match trio.run(context.claims.read, ["plans/g"]):
         case Success((row,)):
             assert row is not None
@@ -130,7 +130,7 @@
 async def see_failure(context, tables):
     """Let all processes see a failure, carry out a plan for it, and then open the next gap."""
     for _, healer, _ in context.plan_table.listeners:
-        healer.witness("x")
+        healer.record_failure("x")
     await trio.sleep(2.0)
     assert context.plan_table.claims > 0
     for each in tables:
--- a/features/steps/path_steps.py
+++ b/features/steps/path_steps.py
@@ -89,7 +89,7 @@
 
 @then("the paths of domain {domain} are {paths}")
 def paths_of_domain(context, domain, paths):
-    paths_found = PathSet(context.model, context.hosts).starts()
+    paths_found = PathSet(context.model, context.hosts).all_paths()
     got = [
         " ".join(part.instance for part in each.stages)
         for each in paths_found
@@ -107,7 +107,7 @@
     firsts = [0] * 80 + list(range(80))
     for seed in range(count):
         hosts = random_hosts(Random(seed), 16, firsts, 60)
-        starts = PathSet(model, hosts).starts()
+        starts = PathSet(model, hosts).all_paths()
         expected = {each.stages[0].instance for each in PathFinder(model, hosts).cheapest_paths()}
         assert {each.stages[0].instance for each in starts} == expected, seed
         for path in starts:
--- a/features/steps/work_steps.py
+++ b/features/steps/work_steps.py
@@ -58,7 +58,7 @@
 
 @when("the paths of the domain are worked out")
 def work_out_paths(context):
-    context.calls = calls_of(lambda: PathSet(context.model, context.placed).inside("x"))
+    context.calls = calls_of(lambda: PathSet(context.model, context.placed).paths_inside("x"))
 
 
 @when("a plan whose orders are under way is met")
@@ -73,7 +73,7 @@
 
 @when("streams that begin and pass are told apart")
 def tell_passing(context):
-    paths = PathSet(context.model, context.placed).inside("x")
+    paths = PathSet(context.model, context.placed).paths_inside("x")
     context.calls = calls_of(lambda: begun_at(paths, lambda name: 20.0))
 
 
@@ -117,7 +117,7 @@
 
 @when("it is asked for {times:d} times")
 def ask_plan(context, times):
-    context.records = [context.book.known("x") for _ in range(times)]
+    context.records = [context.book.last_plan("x") for _ in range(times)]
 
 
 @then("it is one and the same record")
