--- a/deckcourse/decisions/layout_rate.py
+++ b/deckcourse/decisions/layout_rate.py
@@ -43,7 +43,9 @@
 def memory_capacity(model: ModelSpec, copy: Sequence[HeldLayers]) -> float:
     """Return how many usual requests fit into the KV cache of a copy's fullest host."""
     distinct = {(each.kind, each.layers) for each in copy}
-    return min((model.places(kind, layers, layers) for kind, layers in distinct), default=0.0)
+    return min(
+        (model.request_capacity(kind, layers, layers) for kind, layers in distinct), default=0.0
+    )
 
 
 def request_capacity(model: ModelSpec, copy: Sequence[HeldLayers]) -> float:
--- a/deckcourse/decisions/path_draw.py
+++ b/deckcourse/decisions/path_draw.py
@@ -11,10 +11,10 @@
 
 from deckcourse.layers.paths import LayerPath
 
-__all__ = ["COST_POWER", "draw_path"]
+__all__ = ["COST_EXPONENT", "draw_path"]
 
 # A path of twice the cost is drawn less often by a factor of 2 to this power.
-COST_POWER = 2.0
+COST_EXPONENT = 2.0
 
 
 def draw_path(
@@ -29,5 +29,5 @@
     """
     # Weighted sampling: the smallest of exponential variates, each with the path's weight as its
     # rate, is drawn with a probability in proportion to the weight.
-    drawn = sorted(paths, key=lambda each: random.expovariate(1.0) * each.cost**COST_POWER)
+    drawn = sorted(paths, key=lambda each: random.expovariate(1.0) * each.cost**COST_EXPONENT)
     return min(drawn[:2], key=score, default=None)
--- a/deckcourse/decisions/path_load.py
+++ b/deckcourse/decisions/path_load.py
@@ -12,14 +12,14 @@
 
 from deckcourse.layers.paths import LayerPath
 
-__all__ = ["begun_at", "passers", "passing"]
+__all__ = ["passing_first_stages", "streams_by_upstream", "streams_started_at"]
 
 # Iterations until the counts converge: a first stage is passed by paths that start before it, and
 # sites have three first stages a copy.
 ITERATIONS = 4
 
 
-def passers(paths: Sequence[LayerPath]) -> dict[str, list[str]]:
+def passing_first_stages(paths: Sequence[LayerPath]) -> dict[str, list[str]]:
     """Return for each first stage that other paths pass through, the first stages of those."""
     firsts = {path.stages[0].instance: path for path in paths}
     passers_of: dict[str, list[str]] = defaultdict(list)
@@ -30,7 +30,7 @@
     return {passed: passers_of[passed] for passed in firsts if passed in passers_of}
 
 
-def begun_at(
+def streams_started_at(
     paths: Sequence[LayerPath],
     reported_streams: Callable[[str], float],
     passed_by: Mapping[str, Sequence[str]] | None = None,
@@ -41,13 +41,13 @@
       paths: one from each first stage; all processes compute the same paths, and most streams use
         them.
       reported_streams: returns the number of streams that an upstream runs, wherever they start.
-      passed_by: the `passers` of the paths, if they were computed before.
+      passed_by: the `passing_first_stages` of the paths, if they were computed before.
     """
     reported = {
         path.stages[0].instance: reported_streams(path.stages[0].instance) for path in paths
     }
     started = dict(reported)
-    passers_by_stage = passers(paths) if passed_by is None else passed_by
+    passers_by_stage = passing_first_stages(paths) if passed_by is None else passed_by
     for _ in range(ITERATIONS):
         for stage, names in passers_by_stage.items():
             passing_streams = sum([started[name] for name in names])
@@ -55,7 +55,9 @@
     return started
 
 
-def passing(paths: Sequence[LayerPath], started: Mapping[str, float]) -> Mapping[str, float]:
+def streams_by_upstream(
+    paths: Sequence[LayerPath], started: Mapping[str, float]
+) -> Mapping[str, float]:
     """Return the number of streams at each upstream of the paths, wherever they start.
 
     Args:
--- a/deckcourse/decisions/quarantine.py
+++ b/deckcourse/decisions/quarantine.py
@@ -5,10 +5,10 @@
 another reason is innocent, so one crash suffices only while crashing requests are around.
 """
 
-__all__ = ["CONVICTING_ENDS", "is_guarded", "quarantine_seconds"]
+__all__ = ["CONFIRMING_CRASHES", "had_recent_confirmed_crash", "quarantine_seconds"]
 
 # Number of crashes under one request that is not a coincidence.
-CONVICTING_ENDS = 2
+CONFIRMING_CRASHES = 2
 # After this many crashes a request is refused until its record expires or an operator releases it.
 # The platform allows three more attempts after three crashes, for attempts already in flight.
 PERMANENT_QUARANTINE_CRASHES = 3
@@ -23,7 +23,7 @@
 MAX_QUARANTINED_SUSPECTS = 2
 
 
-def is_guarded(confirmed_at: float, now: float) -> bool:
+def had_recent_confirmed_crash(confirmed_at: float, now: float) -> bool:
     """Return whether a confirmed request crashed an upstream recently.
 
     Args:
@@ -43,7 +43,7 @@
     """
     if crashes >= PERMANENT_QUARANTINE_CRASHES:
         return float("inf")
-    if crashes >= CONVICTING_ENDS:
+    if crashes >= CONFIRMING_CRASHES:
         return CONFIRMED_QUARANTINE_SECONDS
     is_quarantined = crashes and is_alert and suspects <= MAX_QUARANTINED_SUSPECTS
     return SUSPECT_QUARANTINE_SECONDS if is_quarantined else 0.0
--- a/deckcourse/decisions/token_bucket.py
+++ b/deckcourse/decisions/token_bucket.py
@@ -46,7 +46,7 @@
             self._query_tokens -= 1.0
         return True
 
-    def give_back(self) -> None:
+    def return_token(self) -> None:
         """Return an unused token."""
         self._tokens = min(MAX_TOKENS, self._tokens + 1.0)
 
--- a/deckcourse/decisions/usual_paths.py
+++ b/deckcourse/decisions/usual_paths.py
@@ -9,14 +9,14 @@
 
 from collections.abc import Sequence
 
-from deckcourse.decisions.path_draw import COST_POWER
+from deckcourse.decisions.path_draw import COST_EXPONENT
 from deckcourse.layers.paths import LayerPath
 from deckcourse.rendezvous import ranked
 
-__all__ = ["usual_paths"]
+__all__ = ["preferred_paths"]
 
 
-def usual_paths(paths: Sequence[LayerPath], process: str, count: int) -> list[LayerPath]:
+def preferred_paths(paths: Sequence[LayerPath], process: str, count: int) -> list[LayerPath]:
     """Return the paths that a process prefers, its first choice first.
 
     Args:
@@ -26,5 +26,5 @@
     """
     by_first = {each.stages[0].instance: each for each in paths}
     cheapest = min((each.cost for each in paths), default=1.0)
-    weights = {name: (cheapest / each.cost) ** COST_POWER for name, each in by_first.items()}
+    weights = {name: (cheapest / each.cost) ** COST_EXPONENT for name, each in by_first.items()}
     return [by_first[name] for name in ranked(process, weights)[:count]]
--- a/deckcourse/gateway/crash_evidence.py
+++ b/deckcourse/gateway/crash_evidence.py
@@ -8,7 +8,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from deckcourse.decisions.quarantine import CONVICTING_ENDS, is_guarded, quarantine_seconds
+from deckcourse.decisions.quarantine import (
+    CONFIRMING_CRASHES,
+    had_recent_confirmed_crash,
+    quarantine_seconds,
+)
 from deckcourse.peers.crash import Crash
 
 __all__ = ["CrashEvidence"]
@@ -75,7 +79,7 @@
         record.last_crash_at = now
         if len(record.instances) < MAX_INSTANCES_PER_REQUEST:
             record.instances[crash.instance] = None
-        if record.crash_count >= CONVICTING_ENDS:
+        if record.crash_count >= CONFIRMING_CRASHES:
             self._confirmed_at = now
         self._evict(now)
         return True
@@ -144,7 +148,7 @@
         confirmed = (
             entry.instances
             for other, entry in self._records.items()
-            if other != identity and entry.crash_count >= CONVICTING_ENDS
+            if other != identity and entry.crash_count >= CONFIRMING_CRASHES
         )
         return not crashed - {each for instances in confirmed for each in instances}
 
@@ -154,7 +158,9 @@
         if record is None:
             return None
         now = self._clock()
-        guarded = is_guarded(self._confirmed_at, now) and not self._is_explained(identity)
+        guarded = had_recent_confirmed_crash(self._confirmed_at, now) and not self._is_explained(
+            identity
+        )
         suspects = min(len(self._suspects_of(each)) for each in record.instances)
         seconds = self._spread * quarantine_seconds(record.crash_count, suspects, guarded)
         until = record.last_crash_at + min(RETENTION_SECONDS, seconds)
--- a/deckcourse/gateway/crash_watch.py
+++ b/deckcourse/gateway/crash_watch.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from deckcourse.decisions.quarantine import CONVICTING_ENDS
+from deckcourse.decisions.quarantine import CONFIRMING_CRASHES
 from deckcourse.gateway.admitted import Admitted
 from deckcourse.gateway.crash_book import CrashBook
 from deckcourse.gateway.crash_check import CrashCheck
@@ -114,7 +114,7 @@
         self._trials: dict[str, _Trial] = {}
         # When this process learned of the crash of each upstream, in that order.
         self._crashed_at: dict[str, float] = {}
-        gossip.share_crashes(self._on_peer_crash, evidence.crashes)
+        gossip.register_crash_handlers(self._on_peer_crash, evidence.crashes)
 
     def refused_until(self, admitted: Admitted) -> float | None:
         """Return when the quarantine of a request ends, on trio's clock; None if it may run."""
@@ -129,7 +129,7 @@
     def _is_in_trial(self, identity: str) -> bool:
         """Return whether a confirmed request is in flight again after its quarantine ended."""
         is_in_flight = any(identity in each.identities for each in self._trials.values())
-        return is_in_flight and self._evidence.crash_count(identity) >= CONVICTING_ENDS
+        return is_in_flight and self._evidence.crash_count(identity) >= CONFIRMING_CRASHES
 
     def view(self) -> tuple[QuarantineView, ...]:
         """Return the evidence on each suspect request."""
@@ -261,7 +261,7 @@
         finally:
             broken.probed.set()
         if crash is not None:
-            await self._gossip.tell_crash(crash)
+            await self._gossip.publish_crash(crash)
 
     def _defer(self, broken: _BrokenAttempt) -> None:
         now = trio.current_time()
--- a/deckcourse/gateway/node.py
+++ b/deckcourse/gateway/node.py
@@ -34,7 +34,7 @@
 from deckcourse.layers.hosts import Group
 from deckcourse.layers.model import ModelSpec
 from deckcourse.layers.plan_book import PLAN_TABLE, PlanBook, PlanRecord
-from deckcourse.peers.followers import turn_of
+from deckcourse.peers.followers import rank_of
 from deckcourse.peers.peers import Peers
 from deckcourse.peers.rate_limit import RateLimit
 from deckcourse.settings import GatewaySettings
@@ -338,7 +338,7 @@
         """Return how many processes precede this one in planning for a group."""
         domains = {each.domain for each in group.hosts}
         roster = self._peers.roster
-        return turn_of(roster.own, roster.live(), domains, group.name)
+        return rank_of(roster.own, roster.live(), domains, group.name)
 
     def _model_of(self, service: str) -> ModelSpec | None:
         spec = self._desired.services.get(service) if self._desired is not None else None
--- a/deckcourse/gateway/path_choice.py
+++ b/deckcourse/gateway/path_choice.py
@@ -6,8 +6,12 @@
 from random import Random
 
 from deckcourse.decisions.path_draw import draw_path
-from deckcourse.decisions.path_load import begun_at, passers, passing
-from deckcourse.decisions.usual_paths import usual_paths
+from deckcourse.decisions.path_load import (
+    passing_first_stages,
+    streams_by_upstream,
+    streams_started_at,
+)
+from deckcourse.decisions.usual_paths import preferred_paths
 from deckcourse.gateway.dialect import StreamControl
 from deckcourse.gateway.load_watch import LoadWatch
 from deckcourse.gateway.traffic_share import TrafficShare
@@ -199,10 +203,12 @@
                     if domain
                     else self._cached_path_set[1].all_paths()
                 )
-            begun = begun_at(paths, self._watch.running, self._find_passers(domain, paths))
+            begun = streams_started_at(
+                paths, self._watch.running, self._find_passers(domain, paths)
+            )
             beginning_at = {name: each + self._watch.waiting(name) for name, each in begun.items()}
             cached = self._cached_stream_counts[domain] = now, _StreamCounts(
-                beginning_at, passing(paths, beginning_at)
+                beginning_at, streams_by_upstream(paths, beginning_at)
             )
         return cached[1]
 
@@ -210,7 +216,7 @@
         """Return the upstreams whose paths pass each first upstream, cached for a list of paths."""
         cached = self._cached_passers.get(domain)
         if cached is None or cached[0] is not paths:
-            cached = self._cached_passers[domain] = paths, passers(paths)
+            cached = self._cached_passers[domain] = paths, passing_first_stages(paths)
         return cached[1]
 
     def _total_requests(self) -> float:
@@ -229,7 +235,9 @@
         if row is None or self._cached_path_set is None:
             return 1.0
         model = self._cached_path_set[1].model
-        return max(1.0, model.places(row.kind, row.end - row.first, stage.end - stage.first))
+        return max(
+            1.0, model.request_capacity(row.kind, row.end - row.first, stage.end - stage.first)
+        )
 
     def note_full(self, instance: str) -> None:
         """Record that an upstream has no room at the moment."""
@@ -311,7 +319,7 @@
         """Return the preferred paths inside this process's domain that have room."""
         inside = self._path_set(model).paths_inside(self._domain)
         if self._preferred[0] is not inside:
-            self._preferred = inside, usual_paths(inside, self._process, len(inside))
+            self._preferred = inside, preferred_paths(inside, self._process, len(inside))
         avoiding = (each for each in self._preferred[1] if not each.instances & avoid)
         with_room = (each for each in avoiding if self._utilization(each) < 1.0)
         return list(islice(with_room, MAX_PREFERRED_PATHS))
--- a/deckcourse/gateway/rate_gate.py
+++ b/deckcourse/gateway/rate_gate.py
@@ -128,7 +128,7 @@
         self._changed_sources: dict[str, str] = {}
         self._limits_changed = trio.Event()
         self._seek_started = trio.Event()
-        gossip.take_token_messages(self._on_message, self._send_limits_to)
+        gossip.register_token_handlers(self._on_message, self._send_limits_to)
 
     @property
     def is_issuer(self) -> bool:
--- a/deckcourse/gateway/row_intake.py
+++ b/deckcourse/gateway/row_intake.py
@@ -95,13 +95,13 @@
     def plan_rows(self, rows: Sequence[Row]) -> None:
         """Record a snapshot of the plans; these aren't new and cause no callback."""
         for row in rows:
-            self._book.note(row)
+            self._book.merge(row)
 
     def plan_row(self, key: str, value: bytes | None, version: int) -> None:
         """Apply one changed plan."""
         if value is None:
             return
-        record = self._book.note(Row(f"{PLAN_TABLE}/{key}", version, value))
+        record = self._book.merge(Row(f"{PLAN_TABLE}/{key}", version, value))
         if record is not None:
             self._on_plan(key, record)
 
--- a/deckcourse/gateway/token_issuer.py
+++ b/deckcourse/gateway/token_issuer.py
@@ -78,7 +78,7 @@
         """Return an unused token to its bucket."""
         bucket = self._buckets.get(instance)
         if bucket is not None:
-            bucket.give_back()
+            bucket.return_token()
 
     def _bucket(self, instance: str, rate: float, now: float) -> TokenBucket:
         bucket = self._buckets.get(instance)
--- a/deckcourse/layer_bench.py
+++ b/deckcourse/layer_bench.py
@@ -147,4 +147,4 @@
 
 def _places(host: LayerHost) -> float:
     held = host.end - host.first
-    return MODEL.places(host.kind, held, held) if held else float("inf")
+    return MODEL.request_capacity(host.kind, held, held) if held else float("inf")
--- a/deckcourse/layers/cuts.py
+++ b/deckcourse/layers/cuts.py
@@ -80,7 +80,7 @@
     largest_gap = max(missing_ranges, key=lambda each: each[1] - each[0], default=(0, 0))
     return sorted(
         hosts,
-        key=lambda each: (largest_gap[0], -1, "") if each.empty else (each.first, each.end, ""),
+        key=lambda each: (largest_gap[0], -1, "") if each.is_empty else (each.first, each.end, ""),
     )
 
 
@@ -93,7 +93,7 @@
     give_up: bool,
 ) -> dict[int, _PartialCut]:
     """Return the best cuts after one more host; a fixed host runs only layers that it holds."""
-    keeps_layers = not (give_up or host.empty)
+    keeps_layers = not (give_up or host.is_empty)
     spare_layers = 0 if is_fixed else model.max_layers(host.kind) - (host.end - host.first)
     best: dict[int, _PartialCut] = {}
     for first, cut in _cheapest_starts(model, by_end):
--- a/deckcourse/layers/healer.py
+++ b/deckcourse/layers/healer.py
@@ -113,7 +113,7 @@
         self._wait_jitter: dict[str, float] = {}
         self._host_names: frozenset[str] = frozenset()
         self._settled_at = 0.0
-        self._witnessed: set[str] = set()
+        self._failed_domains: set[str] = set()
         self._improve_after: dict[str, float] = {}
         # The groups, with the upstreams' change count and the model that they were computed for.
         self._cached_groups: tuple[int, ModelSpec, tuple[Group, ...]] | None = None
@@ -126,7 +126,7 @@
         It is forgotten once a plan is made for the domain. Otherwise, after some losses most
         processes would act before their turn and most claims would be lost.
         """
-        self._witnessed.add(domain)
+        self._failed_domains.add(domain)
 
     async def run(self, model: Callable[[], ModelSpec | None], allowed: Callable[[], bool]) -> None:
         """Check and send orders until cancelled, but only while `allowed` returns true."""
@@ -198,7 +198,7 @@
         # A plan is searched for only in this process's turn: usually another process has made it
         # by then.
         since = self._needed_since.setdefault(group.name, now)
-        if all(each.empty for each in group.hosts):
+        if all(each.is_empty for each in group.hosts):
             # Turns start once rows stop arriving: otherwise all would be over at that moment.
             since = max(since, self._settled_at)
         if now < since + self._wait_seconds(group):
@@ -216,7 +216,7 @@
         if record is not None and record.author == self._book.author:
             return 0.0
         base = TURN_SECONDS
-        if self._witnessed & domains_of(group.name):
+        if self._failed_domains & domains_of(group.name):
             base = WITNESS_TURN_SECONDS
         jitter = self._wait_jitter.setdefault(group.name, self._random.random())
         turn_seconds = base * (1 + self._processes_ahead(group))
@@ -251,7 +251,7 @@
         """Record that a plan for the group's need exists or is being written."""
         self._needed_since.pop(group, None)
         self._wait_jitter.pop(group, None)
-        self._witnessed -= domains_of(group)
+        self._failed_domains -= domains_of(group)
         self._improve_after[group] = trio.current_time() + IMPROVEMENT_COOLDOWN_SECONDS
 
     def _mark_pending(self, model: ModelSpec, record: PlanRecord) -> None:
@@ -307,7 +307,7 @@
         elif result in (OrderResult.CONFLICT, OrderResult.UNANSWERED):
             busy_until = trio.current_time() + BUSY_COOLDOWN_SECONDS
             self._pending[row.instance] = _Pending(row.first, row.end, busy_until, True)
-        elif result not in (OrderResult.TAKEN, OrderResult.HELD):
+        elif result not in (OrderResult.ACCEPTED, OrderResult.HELD):
             self._pending.pop(assignment.instance, None)
         self._log(
             "order",
@@ -322,7 +322,7 @@
 
 
 def _expected_range(host: LayerHost) -> tuple[int, int]:
-    return (0, 0) if host.empty else (host.first, host.end)
+    return (0, 0) if host.is_empty else (host.first, host.end)
 
 
 def _log_fields(group: Group, record: PlanRecord) -> dict[str, object]:
--- a/deckcourse/layers/hosts.py
+++ b/deckcourse/layers/hosts.py
@@ -58,7 +58,7 @@
     scarce: bool = False
 
     @property
-    def empty(self) -> bool:
+    def is_empty(self) -> bool:
         """Whether it holds no layers."""
         return self.end <= self.first
 
--- a/deckcourse/layers/improvements.py
+++ b/deckcourse/layers/improvements.py
@@ -66,8 +66,12 @@
 def relieve(model: ModelSpec, hosts: Sequence[LayerHost]) -> tuple[Assignment, ...]:
     """Let idle hosts load layers of the fullest ones, which drop them once they are loaded."""
     assignments = []
-    fullest = sorted((each for each in hosts if not each.empty), key=lambda each: -each.fill(model))
-    for idle_host, full_host in zip((each for each in hosts if each.empty), fullest, strict=False):
+    fullest = sorted(
+        (each for each in hosts if not each.is_empty), key=lambda each: -each.fill(model)
+    )
+    for idle_host, full_host in zip(
+        (each for each in hosts if each.is_empty), fullest, strict=False
+    ):
         count = model.max_layers(idle_host.kind, PREFERRED_FILL)
         if count == 0:
             continue
@@ -82,12 +86,12 @@
     A host with little free memory refuses requests, and the fullest host limits the whole path.
     """
     for full_host in sorted(hosts, key=lambda each: -each.fill(model)):
-        if full_host.empty or full_host.fill(model) <= BALANCE_FILL:
+        if full_host.is_empty or full_host.fill(model) <= BALANCE_FILL:
             return ()
         neighbours = [
             each
             for each in hosts
-            if not each.empty
+            if not each.is_empty
             and (each.first < full_host.first <= each.end or each.first <= full_host.end < each.end)
             and full_host.fill(model) - each.fill(model) > MIN_FILL_DIFFERENCE
         ]
@@ -117,7 +121,7 @@
 def trim(model: ModelSpec, hosts: Sequence[LayerHost], copies: int) -> tuple[Assignment, ...]:
     """Let one host that is too full drop layers that enough others hold."""
     for host in sorted(hosts, key=lambda each: -each.fill(model)):
-        if host.empty or host.fill(model) <= TRIM_FILL:
+        if host.is_empty or host.fill(model) <= TRIM_FILL:
             return ()
         others = [each for each in hosts if each is not host]
         needed = gaps(model, others, copies)
--- a/deckcourse/layers/leveling.py
+++ b/deckcourse/layers/leveling.py
@@ -44,7 +44,7 @@
       hosts: the hosts of the group; idle ones are ignored.
     """
     ordered = sorted(
-        (each for each in hosts if not each.empty),
+        (each for each in hosts if not each.is_empty),
         key=lambda each: (each.first, each.end, each.instance),
     )
     current_fill = max((each.fill(model) for each in ordered), default=0.0)
--- a/deckcourse/layers/model.py
+++ b/deckcourse/layers/model.py
@@ -100,7 +100,7 @@
             max(0.0, free_mb * BYTES_PER_MB / bytes_per_token) if bytes_per_token else float("inf")
         )
 
-    def places(self, kind: str, held_layers: int, run_layers: int) -> float:
+    def request_capacity(self, kind: str, held_layers: int, run_layers: int) -> float:
         """Return how many usual requests' KV cache fits; see `cache_capacity_tokens`."""
         return self.cache_capacity_tokens(kind, held_layers, run_layers) / self.usual_tokens
 
--- a/deckcourse/layers/orders.py
+++ b/deckcourse/layers/orders.py
@@ -19,7 +19,7 @@
 __all__ = ["LayerReport", "OrderOutcome", "OrderResult", "OrderSender", "Orderer"]
 
 # Maximum number of attempts for one order.
-MOST_ORDER_TRIES = 4
+MAX_ORDER_ATTEMPTS = 4
 # Number of consecutive accepted orders that an upstream drops before orders to it are paused.
 MAX_DROPPED_ORDERS = 2
 # Maximum age of the state in an upstream's report, seconds.
@@ -33,7 +33,7 @@
     previous orders without carrying them out.
     """
 
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     HELD = "held"
     CONFLICT = "conflict"
     REFUSED = "refused"
@@ -123,7 +123,7 @@
         report = await self._initial_report(row, expected_range)
         result = OrderResult.UNANSWERED
         conflicts = 0
-        for _ in range(MOST_ORDER_TRIES):
+        for _ in range(MAX_ORDER_ATTEMPTS):
             # After a restart the order no longer applies: it was planned for the old incarnation.
             is_known = self._upstreams.get(row.instance) is not None
             if report is None or not is_known or trio.current_time() >= deadline:
@@ -143,7 +143,7 @@
                 report = await self._confirmed_report(row, expected_range)
             elif result is not OrderResult.UNANSWERED:
                 break
-        if result is OrderResult.TAKEN and report is not None:
+        if result is OrderResult.ACCEPTED and report is not None:
             held = assignment.first, assignment.end
             self._reports[row.instance] = LayerReport(report.orders + 1, held)
             self._accepted_orders[row.instance] = self._reports[row.instance]
--- a/deckcourse/layers/path_set.py
+++ b/deckcourse/layers/path_set.py
@@ -43,7 +43,7 @@
         self._inside_of: dict[str, list[LayerPath]] = {}
         same_model = before is not None and before.model == model
         self._previous_inside = before._inside if same_model else {}
-        self._hosts = tuple(each for each in hosts if each.usable and not each.empty)
+        self._hosts = tuple(each for each in hosts if each.usable and not each.is_empty)
         self._starts: dict[frozenset[str], list[LayerPath]] = {}
         self._onward: dict[tuple[PathStage, str, frozenset[str]], LayerPath | None] = {}
 
@@ -160,7 +160,7 @@
         return (
             path_count
             * self._model.requests
-            / max(1.0, self._model.places(host.kind, layers, layers))
+            / max(1.0, self._model.request_capacity(host.kind, layers, layers))
         )
 
     def _path_avoiding_load(
--- a/deckcourse/layers/paths.py
+++ b/deckcourse/layers/paths.py
@@ -89,7 +89,7 @@
         self, model: ModelSpec, hosts: Iterable[LayerHost], extra_cuts: Sequence[int] = ()
     ) -> None:
         self._model = model
-        self._hosts = [each for each in hosts if each.usable and not each.empty]
+        self._hosts = [each for each in hosts if each.usable and not each.is_empty]
         self._unslowed_layer_ms = {
             each.instance: self._layer_ms_of(each) * each.pace for each in self._hosts
         }
--- a/deckcourse/layers/placement.py
+++ b/deckcourse/layers/placement.py
@@ -48,7 +48,7 @@
         return ()
     hosts = group.hosts
     thin_ranges = gaps(model, hosts, group.copies)
-    idle = [each for each in hosts if each.empty]
+    idle = [each for each in hosts if each.is_empty]
     if thin_ranges and idle:
         return add_copy(model, idle, thin_ranges[0])
     if group.copies == 1:
--- a/deckcourse/layers/plan_book.py
+++ b/deckcourse/layers/plan_book.py
@@ -84,7 +84,7 @@
         self._rows[group] = row
         self._plans[group] = plan
 
-    def note(self, row: Row) -> PlanRecord | None:
+    def merge(self, row: Row) -> PlanRecord | None:
         """Merge a group's row that was read elsewhere.
 
         Returns:
@@ -98,7 +98,7 @@
         self._store(group, row, record)
         return None if record is None or record.author == self._author else record
 
-    async def look(self, group: str) -> PlanRecord | None:
+    async def refresh(self, group: str) -> PlanRecord | None:
         """Read the plan of a group from the table, or return the last one if there is no answer."""
         match await self._table.read([KEY_PREFIX + group]):
             case Success((row,)):
@@ -120,9 +120,9 @@
                 self._store(group, Row(KEY_PREFIX + group, version, value), record)
                 return PlanWon(record)
             case Success(_):
-                return ClaimLost(await self.look(group))
+                return ClaimLost(await self.refresh(group))
         # The write may have succeeded: the next claim must be based on the current row.
-        await self.look(group)
+        await self.refresh(group)
         return ClaimUnanswered()
 
 
--- a/deckcourse/layers/relocation.py
+++ b/deckcourse/layers/relocation.py
@@ -93,8 +93,11 @@
     fill: float,
 ) -> _Plan:
     """Return the fastest plan that moves the given hosts."""
-    staying = [each for each in hosts if not each.empty and each not in moved]
-    free_hosts = [*moved, *(each for each in hosts if each.empty and each.instance not in pending)]
+    staying = [each for each in hosts if not each.is_empty and each not in moved]
+    free_hosts = [
+        *moved,
+        *(each for each in hosts if each.is_empty and each.instance not in pending),
+    ]
     best = _Plan(NO_PLAN_SECONDS, ())
     for max_load in LOAD_LIMITS:
         extended, uncovered = _extend_hosts(model, staying, pending, max_load, fill)
@@ -114,7 +117,7 @@
 ) -> list[LayerHost]:
     """Return the hosts that may be moved, those with the fewest layers of their own first."""
     holder_count_by_layer = holder_counts(model, hosts)
-    movable = [each for each in hosts if not each.empty and each.instance not in pending]
+    movable = [each for each in hosts if not each.is_empty and each.instance not in pending]
     sole_layers = {
         each.instance: sum(
             holder_count_by_layer[layer] == 1 for layer in range(each.first, each.end)
@@ -194,7 +197,8 @@
 ) -> list[Assignment] | None:
     """Assign free hosts to the ranges that no host holds, None if there are too few."""
     available = sorted(
-        free_hosts, key=lambda each: (not each.empty, -model.max_layers(each.kind), each.instance)
+        free_hosts,
+        key=lambda each: (not each.is_empty, -model.max_layers(each.kind), each.instance),
     )
     assignments: list[Assignment] = []
     for first, end in sorted(uncovered, key=lambda each: each[0] - each[1]):
--- a/deckcourse/layers/repair.py
+++ b/deckcourse/layers/repair.py
@@ -69,7 +69,7 @@
     for wanted in slice_model(model, ordered, "widens"):
         host = by_instance[wanted.instance]
         low, high = wanted.first, wanted.end
-        if not host.empty:
+        if not host.is_empty:
             low, high = _extended_range(model, host, wanted)
         if (low, high) != (host.first, host.end):
             assignments.append(replace(wanted, first=low, end=high))
--- a/deckcourse/peers/followers.py
+++ b/deckcourse/peers/followers.py
@@ -11,7 +11,7 @@
 from deckcourse.peers.member import Member
 from deckcourse.rendezvous import ranked
 
-__all__ = ["FOLLOWERS_PER_DOMAIN", "followers", "sources", "turn_of"]
+__all__ = ["FOLLOWERS_PER_DOMAIN", "followers", "sources", "rank_of"]
 
 # Followers of the store in each domain: the second one continues if the first is lost, and the next
 # in rank replaces a lost one as soon as another process uses it as a source.
@@ -31,7 +31,7 @@
     return tuple(_ranked_members(members, (domain,), domain)[:FOLLOWERS_PER_DOMAIN])
 
 
-def turn_of(own: Member, members: Iterable[Member], domains: Collection[str], key: str) -> int:
+def rank_of(own: Member, members: Iterable[Member], domains: Collection[str], key: str) -> int:
     """Return how many members of some domains rank before a process for a shared task.
 
     If the key is the name of a domain, the followers of that domain rank first: they learn of
--- a/deckcourse/peers/gossip.py
+++ b/deckcourse/peers/gossip.py
@@ -63,7 +63,7 @@
         self._on_token_message: Callable[[bytes], Awaitable[None]] | None = None
         self._on_digest_request: Callable[[str], Awaitable[None]] | None = None
 
-    def share_crashes(
+    def register_crash_handlers(
         self, on_crash: Callable[[Crash], None], recent: Callable[[], Sequence[Crash]]
     ) -> None:
         """Register the handlers of crashes.
@@ -76,7 +76,7 @@
         self._on_crash = on_crash
         self._recent_crashes = recent
 
-    def take_token_messages(
+    def register_token_handlers(
         self,
         handler: Callable[[bytes], Awaitable[None]],
         on_digest_request: Callable[[str], Awaitable[None]],
@@ -109,13 +109,13 @@
                 await self._round()
                 await trio.sleep(ROUND_INTERVAL_SECONDS * self._random.uniform(0.9, 1.1))
 
-    async def tell_leaving(self) -> None:
+    async def announce_leaving(self) -> None:
         """Announce to the members of the own domain that this process is leaving."""
         self._roster.mark_leaving()
         for member in self._domain_peers():
             await self._send_digest(member.address, member.domain)
 
-    async def tell_crash(self, crash: Crash) -> None:
+    async def publish_crash(self, crash: Crash) -> None:
         """Send a crash to other members at once."""
         own = self._roster.own
         digest = encode_digest(Digest(own, (), False, (crash,)))
--- a/deckcourse/peers/peers.py
+++ b/deckcourse/peers/peers.py
@@ -99,5 +99,5 @@
 
     async def leave(self) -> None:
         """Announce that this process is leaving, and end the responses to subscribers."""
-        await self._gossip.tell_leaving()
+        await self._gossip.announce_leaving()
         self._feed.server.stop()
--- a/deckcourse/platform/runners.py
+++ b/deckcourse/platform/runners.py
@@ -148,7 +148,7 @@
         answer = await self._order(upstream, body, ORDER_TIMEOUT_SECONDS, Purpose.ORDER)
         if answer is None:
             return OrderResult.UNANSWERED
-        results = {200: OrderResult.HELD, 202: OrderResult.TAKEN, 409: OrderResult.CONFLICT}
+        results = {200: OrderResult.HELD, 202: OrderResult.ACCEPTED, 409: OrderResult.CONFLICT}
         return results.get(answer[0], OrderResult.REFUSED)
 
     async def order_count(self, upstream: Upstream) -> int | None:
--- a/features/healer_standins.py
+++ b/features/healer_standins.py
@@ -40,7 +40,7 @@
     async def notify(self, key):
         await trio.sleep(self.seconds)
         for book, healer, model in self.listeners:
-            record = book.note(self._rows[key])
+            record = book.merge(self._rows[key])
             if record is not None:
                 healer.on_plan(key.partition("/")[2], model, record)
 
@@ -67,7 +67,7 @@
     """Leaves the first orders to each upstream unanswered."""
 
     def __init__(self, unanswered):
-        super().__init__(OrderResult.TAKEN)
+        super().__init__(OrderResult.ACCEPTED)
         self.unanswered = unanswered
         self.attempts = {}
         self.accepted_at = {}
@@ -138,10 +138,10 @@
         self._orders[name] += 1
         self._loading[name] = now + self.LOAD_SECONDS
         if name in self.dropping_upstreams:
-            return OrderResult.TAKEN
+            return OrderResult.ACCEPTED
         self._ranges[name] = first, end
         self.on_range_changed(name, first, end)
-        return OrderResult.TAKEN
+        return OrderResult.ACCEPTED
 
     async def order_count(self, upstream):
         await trio.sleep(0.002)
--- a/features/layer_world.py
+++ b/features/layer_world.py
@@ -100,7 +100,7 @@
 
     def memory_share(part):
         host = by_instance[part.instance]
-        return 1.0 / model.places(host.kind, host.end - host.first, part.end - part.first)
+        return 1.0 / model.request_capacity(host.kind, host.end - host.first, part.end - part.first)
 
     def has_capacity(path):
         slots = (started[path.stages[0].instance] + 1) / model.requests
--- a/features/mutants_crashes.py
+++ b/features/mutants_crashes.py
@@ -23,10 +23,10 @@
 
 
 def others_hear_of_no_end():
-    async def tell_crash(self, crash):
+    async def publish_crash(self, crash):
         """Publish nothing."""
 
-    PeerGossip.tell_crash = tell_crash
+    PeerGossip.publish_crash = publish_crash
     CrashBook.write = lambda self, crash: None
 
 
--- a/features/mutants_gateway.py
+++ b/features/mutants_gateway.py
@@ -282,7 +282,7 @@
 
 
 def orders_are_given_once():
-    orders_module.MOST_ORDER_TRIES = 1
+    orders_module.MAX_ORDER_ATTEMPTS = 1
 
 
 def surplus_bytes_pass():
--- a/features/mutants_peers.py
+++ b/features/mutants_peers.py
@@ -54,7 +54,7 @@
 
 
 def slow_paths_count_as_fast():
-    usual_paths.COST_POWER = 0.0
+    usual_paths.COST_EXPONENT = 0.0
 
 
 def pauses_add_up():
@@ -62,7 +62,7 @@
 
 
 def streams_count_as_told():
-    path_load.begun_at.__code__ = told_as_it_is.__code__
+    path_load.streams_started_at.__code__ = told_as_it_is.__code__
 
 
 def told_as_it_is(paths, running, passed_by):
@@ -85,9 +85,9 @@
     original = Healer._record_planned
 
     def note_planned(self, group):
-        witnessed = set(self._witnessed)
+        witnessed = set(self._failed_domains)
         original(self, group)
-        self._witnessed = witnessed
+        self._failed_domains = witnessed
 
     Healer._record_planned = note_planned
 
--- a/features/steps/crash_evidence_steps.py
+++ b/features/steps/crash_evidence_steps.py
@@ -40,10 +40,10 @@
 class NullPeerGossip:
     """Sends nothing to peers."""
 
-    def share_crashes(self, on_crash, crashes):
+    def register_crash_handlers(self, on_crash, crashes):
         pass
 
-    async def tell_crash(self, crash):
+    async def publish_crash(self, crash):
         pass
 
 
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -6,8 +6,8 @@
 from behave import given, then, when
 
 from deckcourse.decisions.path_draw import draw_path
-from deckcourse.decisions.path_load import begun_at, passing
-from deckcourse.decisions.usual_paths import usual_paths
+from deckcourse.decisions.path_load import streams_by_upstream, streams_started_at
+from deckcourse.decisions.usual_paths import preferred_paths
 from deckcourse.layers.paths import LayerPath, PathStage
 
 
@@ -31,13 +31,13 @@
 
 @when("the first stages report {reported} running streams")
 def report_running(context, reported):
-    context.started = begun_at(context.paths, numbers_of(reported).__getitem__)
+    context.started = streams_started_at(context.paths, numbers_of(reported).__getitem__)
 
 
 @then("{started} streams start there, and the upstreams run {running}")
 def start_and_run(context, started, running):
     assert context.started == numbers_of(started), context.started
-    streams = passing(context.paths, context.started)
+    streams = streams_by_upstream(context.paths, context.started)
     assert {name: streams[name] for name in numbers_of(running)} == numbers_of(running), streams
 
 
@@ -102,7 +102,7 @@
 
 @when("each of {processes:d} processes prefers {count:d} of them")
 def processes_prefer(context, processes, count):
-    preferred = [usual_paths(context.paths, f"p{each}", count) for each in range(processes)]
+    preferred = [preferred_paths(context.paths, f"p{each}", count) for each in range(processes)]
     context.firsts = [[path.stages[0].instance for path in paths] for paths in preferred]
     assert all(len(set(each)) == min(count, len(context.paths)) for each in context.firsts)
 
--- a/features/steps/foreign_frame_steps.py
+++ b/features/steps/foreign_frame_steps.py
@@ -318,7 +318,7 @@
         key = f"{PLAN_TABLE}/x"
         await table.transact([Write(key, value)])
         row = table.rows[key]
-        noted = book.note(row)
+        noted = book.merge(row)
         won = await book.claim("x", "m", (Assignment("a", 0, 4, "r"),))
         return noted, won, row
 
@@ -415,7 +415,7 @@
         upstreams.put(Upstream("a", "llm", "127.0.0.1:1", "x", first=0, end=4))
         book = PlanBook(MemoryTable(), "n/1")
         healer = Healer("llm", upstreams, book, None, Random(1), lambda *_, **__: None)
-        record = book.note(Row(f"{PLAN_TABLE}/x", 3, value))
+        record = book.merge(Row(f"{PLAN_TABLE}/x", 3, value))
         assert book.last_plan("x") is None or 0 < book.last_plan("x").number < 2**63
         if record is not None:
             healer.on_plan("x", MODEL, record)
--- a/features/steps/healer_steps.py
+++ b/features/steps/healer_steps.py
@@ -70,7 +70,7 @@
 
 @given("a process whose claim is answered after {seconds:g} seconds")
 def late_claim(context, seconds):
-    context.orderer = CountingOrderer(OrderResult.TAKEN)
+    context.orderer = CountingOrderer(OrderResult.ACCEPTED)
     run_healer(SlowTable(seconds), context.orderer, seconds + 1.5)
 
 
@@ -144,7 +144,7 @@
 @when("plans reach the other processes after {seconds:g} seconds")
 def plans_propagate(context, seconds):
     context.plan_table = NotifyingTable(seconds)
-    context.orderer = CountingOrderer(OrderResult.TAKEN)
+    context.orderer = CountingOrderer(OrderResult.ACCEPTED)
     context.ordered_at = None
     saw_before = getattr(context, "saw_before", ())
 
--- a/features/steps/rate_sharing_steps.py
+++ b/features/steps/rate_sharing_steps.py
@@ -108,7 +108,7 @@
 async def issuer_stops(site):
     issuer = site.issuers()[0]
     issuer.stopping = True
-    await issuer.gossip.tell_leaving()
+    await issuer.gossip.announce_leaving()
     await trio.sleep(FAULT_SECONDS)
 
 
--- a/features/steps/work_steps.py
+++ b/features/steps/work_steps.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 from layer_world import LAYER_MB, carried_out, model_of
 
-from deckcourse.decisions.path_load import begun_at
+from deckcourse.decisions.path_load import streams_started_at
 from deckcourse.gateway.path_choice import PathChoice
 from deckcourse.gateway.traffic_share import TrafficShare
 from deckcourse.gateway.upstream import Upstream
@@ -74,7 +74,7 @@
 @when("streams that begin and pass are told apart")
 def tell_passing(context):
     paths = PathSet(context.model, context.placed).paths_inside("x")
-    context.calls = calls_of(lambda: begun_at(paths, lambda name: 20.0))
+    context.calls = calls_of(lambda: streams_started_at(paths, lambda name: 20.0))
 
 
 @given("{count:d} upstreams in {domains:d} domains, looked at once")
@@ -98,7 +98,7 @@
         row = context.listed.get(f"i-{each}")
         context.listed.put(replace(row, first=0, end=10))
     context.calls = calls_of(lambda: look(context))
-    held = [each for each in context.listed.layer_hosts("llm") if not each.empty]
+    held = [each for each in context.listed.layer_hosts("llm") if not each.is_empty]
     assert len(held) == count, len(held)
 
 
@@ -112,7 +112,7 @@
     orders = tuple(Assignment(f"i-{each}", 0, 10, "new") for each in range(count))
     value = msgspec.json.encode(PlanRecord(1, "another", "m", orders))
     context.book = PlanBook(MemoryTable(), "me")
-    context.book.note(Row("plans/x", 1, value))
+    context.book.merge(Row("plans/x", 1, value))
 
 
 @when("it is asked for {times:d} times")
