--- a/deckcourse/decisions/token_bucket.py
+++ b/deckcourse/decisions/token_bucket.py
@@ -42,7 +42,7 @@
         if self.wait(now, purpose) > 0.0:
             return False
         self._tokens -= 1.0
-        if purpose is Purpose.QUESTION:
+        if purpose is Purpose.QUERY:
             self._query_tokens -= 1.0
         return True
 
@@ -55,7 +55,7 @@
         self._refill(now)
         needed = 1.0 if purpose is Purpose.REQUEST else 1.0 - MAX_DEBT
         seconds = max(0.0, needed - self._tokens) / self._rate
-        if purpose is not Purpose.QUESTION:
+        if purpose is not Purpose.QUERY:
             return seconds
         return max(seconds, max(0.0, 1.0 - self._query_tokens) / self._query_rate)
 
--- a/deckcourse/gateway/calls.py
+++ b/deckcourse/gateway/calls.py
@@ -11,8 +11,8 @@
 from deckcourse.gateway.dialect import Dispatch, ReplyFacts
 from deckcourse.gateway.rate_gate import SendingToken
 from deckcourse.http1.client import (
-    NAMELESS,
-    REMEMBERED_CALLS,
+    MAX_REMEMBERED_CALLS,
+    UNNAMED_CALL,
     UpstreamConnection,
     UpstreamReply,
 )
@@ -132,15 +132,17 @@
     caller = admitted.caller
     message = caller.message
     headers = context.dialect.headers_for(caller, dispatch)
-    connection.note_call(caller.request_id)
-    if caller.request_id == NAMELESS:
+    connection.record_call(caller.request_id)
+    if caller.request_id == UNNAMED_CALL:
         # A repeated response without an id could be taken for the response to a control message.
-        connection.retire()
+        connection.close_after_call()
     sent_at = trio.current_time()
     reply = await connection.call(message.method, message.target, headers, message.body)
     facts = context.dialect.facts(reply)
-    for _ in range(REMEMBERED_CALLS):
-        if facts.request_id == caller.request_id or not connection.had_call(facts.request_id):
+    for _ in range(MAX_REMEMBERED_CALLS):
+        if facts.request_id == caller.request_id or not connection.has_recent_call(
+            facts.request_id
+        ):
             break
         context.count("answer.surplus")
         reply = await connection.next_reply()
@@ -161,7 +163,7 @@
       ConnectionLostError: it does, so that the end of the first response is unknown.
     """
     framed = any(name in _FRAMING for name, _ in reply.headers)
-    if (not framed or reply.followed) and _holds_status_line(body):
+    if (not framed or reply.has_trailing_bytes) and _holds_status_line(body):
         raise ConnectionLostError(FailureKind.MALFORMED, "the body contains another response")
 
 
--- a/deckcourse/gateway/crash_evidence.py
+++ b/deckcourse/gateway/crash_evidence.py
@@ -72,7 +72,7 @@
         record = self._records.pop(crash.identity, None) or _Record(now)
         # Moves the record to the end: records are ordered by their last report.
         self._records[crash.identity] = record
-        crash_count = max(record.crash_count, crash.known_ends + 1)
+        crash_count = max(record.crash_count, crash.known_crashes + 1)
         if crash_count == record.crash_count and crash.instance in record.instances:
             return False
         record.crash_count = crash_count
--- a/deckcourse/gateway/gateway.py
+++ b/deckcourse/gateway/gateway.py
@@ -136,4 +136,4 @@
     head = response_head(outcome, fractions=True)
     body = msgspec.json.encode({"error": outcome.message, "reason": str(outcome.reason)})
     headers = (*head.headers, (b"content-type", b"application/json"))
-    await exchange.whole(head.status, headers, body)
+    await exchange.respond(head.status, headers, body)
--- a/deckcourse/gateway/load_watch.py
+++ b/deckcourse/gateway/load_watch.py
@@ -85,24 +85,24 @@
 
     def _find_sent_since(self, instance: str) -> tuple[float, int]:
         """Return when an upstream's latest report was queried, and the streams sent since."""
-        row = self._board.known(instance)
+        row = self._board.get(instance)
         at = row.at if row is not None else float("-inf")
         sent = self._sent_since_report.get(instance, (at, 0))
         return sent if sent[0] == at else (at, 0)
 
     def reported(self, instance: str) -> float:
         """Return how many requests an upstream reported, running and queued; 0 if unknown."""
-        row = self._board.known(instance)
+        row = self._board.get(instance)
         return row.requests if row is not None else 0.0
 
     def running(self, instance: str) -> float:
         """Return how many streams run at an upstream, begun there or passing; 0 if unknown."""
-        row = self._board.known(instance)
+        row = self._board.get(instance)
         return row.running if row is not None else 0.0
 
     def waiting(self, instance: str) -> float:
         """Return how many requests are queued at an upstream, including those just sent."""
-        row = self._board.known(instance)
+        row = self._board.get(instance)
         return (
             row.queued + OWN_STREAM_WEIGHT * self._find_sent_since(instance)[1]
             if row is not None
@@ -111,7 +111,7 @@
 
     def cache_share(self, instance: str) -> float:
         """Return the used share of an upstream's request memory if requests queue there, else 0."""
-        row = self._board.known(instance)
+        row = self._board.get(instance)
         return row.cache_share if row is not None and row.queued else 0.0
 
     async def run(self) -> None:
@@ -151,6 +151,6 @@
             return
         share = load.cache_used / load.cache_total if load.cache_total else 0.0
         row = LoadRow(upstream.instance, load.running, load.queued, share, queried_at)
-        self._board.note(row)
+        self._board.record(row)
         if not self._traffic.measured:
             self._record_share()
--- a/deckcourse/gateway/lookup.py
+++ b/deckcourse/gateway/lookup.py
@@ -200,7 +200,7 @@
         )
         request_id = self._admitted.caller.request_id
         try:
-            async with context.pool.lent(
+            async with context.pool.borrow(
                 upstream.address, max_idle_seconds, request_id
             ) as connection:
                 result = await self._exchange(connection, upstream, token)
@@ -221,7 +221,7 @@
         self, upstream: Upstream, failure: ConnectionLostError, run: RunStart
     ) -> _Refused | _Lost:
         if failure.kind is FailureKind.UNSENT:
-            self._context.pool.forget(upstream.address)
+            self._context.pool.close_idle(upstream.address)
             return _Refused(RetryReason.UNREACHABLE, failure.message)
         await self._context.crashes.note_broken(self._admitted, upstream, run)
         return _Lost(failure.message)
@@ -244,7 +244,7 @@
         except ConnectionLostError as failure:
             self._executions -= failure.kind is FailureKind.UNSENT
             raise
-        body = await reply.whole_body()
+        body = await reply.read_body()
         if facts.not_run:
             self._executions -= 1
             return _Refused(RetryReason.REFUSED, f"upstream answered {reply.status}")
@@ -254,7 +254,7 @@
         return _Response(reply.status, end_to_end(reply.headers), body)
 
     async def _deliver(self, response: _Response) -> Outcome:
-        await self._admitted.exchange.whole(response.status, response.headers, response.body)
+        await self._admitted.exchange.respond(response.status, response.headers, response.body)
         self._context.return_schedule(self._admitted.service.name).note_answered()
         return Answered(0, response.status)
 
--- a/deckcourse/gateway/node.py
+++ b/deckcourse/gateway/node.py
@@ -249,10 +249,10 @@
             return
         if request.method == b"DELETE":
             was_suspect = self._crash_watch.release(identity.decode("latin-1"))
-            await exchange.whole(200 if was_suspect else 404, (), b"")
+            await exchange.respond(200 if was_suspect else 404, (), b"")
             return
         kind = (b"content-type", b"application/json")
-        await exchange.whole(200, (kind,), encode_quarantine(self._crash_watch.view()))
+        await exchange.respond(200, (kind,), encode_quarantine(self._crash_watch.view()))
 
     def stop(self) -> None:
         """Report the process as stopping and not ready; running requests continue."""
@@ -326,7 +326,7 @@
 
     def _is_paced(self) -> bool:
         """Return whether the shared feed decides how often the store is polled."""
-        return self._peers.feed.paces
+        return self._peers.feed.paces_reads
 
     def _process_factor(self) -> float:
         """Return the number of processes relative to that of a small site."""
@@ -399,7 +399,7 @@
         self._rate_limits.forget(older.instance)
         self._counters.count("upstream.restarted")
         self._log("upstream-restarted", instance=older.instance, address=older.address)
-        self._ports.pool.forget(older.address)
+        self._ports.pool.close_idle(older.address)
         self._monitor.note_ended(older)
         self._crash_watch.note_ended(older.instance)
 
--- a/deckcourse/gateway/rate_gate.py
+++ b/deckcourse/gateway/rate_gate.py
@@ -25,7 +25,7 @@
 from deckcourse.peers.roster import Roster
 from deckcourse.peers.token_messages import (
     MAX_LIMITS_PER_MESSAGE,
-    LimitNews,
+    LimitUpdate,
     TokenReply,
     TokenRequest,
     TokenReturn,
@@ -232,7 +232,7 @@
         match message:
             case None:
                 self._count("malformed.token-message")
-            case LimitNews(limits, issuer):
+            case LimitUpdate(limits, issuer):
                 await self._merge_peer_limits(limits, issuer)
             case TokenReply():
                 self._client.on_reply(message)
@@ -264,7 +264,7 @@
             if own is not None and own != received and own.supersedes(received)
         )
         if newer:
-            await self._gossip.send(issuer.address, encode_message(LimitNews(newer)))
+            await self._gossip.send(issuer.address, encode_message(LimitUpdate(newer)))
 
     async def _reply_to(self, request: TokenRequest) -> None:
         issuer = self._client.issuer
@@ -397,4 +397,4 @@
     """Yield the datagrams that carry some limits."""
     for first in range(0, len(limits), MAX_LIMITS_PER_MESSAGE):
         batch = tuple(limits[first : first + MAX_LIMITS_PER_MESSAGE])
-        yield encode_message(LimitNews(batch, issuer))
+        yield encode_message(LimitUpdate(batch, issuer))
--- a/deckcourse/gateway/rate_limits.py
+++ b/deckcourse/gateway/rate_limits.py
@@ -75,16 +75,16 @@
                 self._store(RateLimit(instance, 1, rate, is_control), "answer")
             return
         known = entry.limit
-        if rate is None and is_control and not known.on_questions:
+        if rate is None and is_control and not known.on_query_replies:
             return
-        on_questions = known.on_questions or is_control
+        on_questions = known.on_query_replies or is_control
         if rate == known.rate:
-            if rate is not None and on_questions != known.on_questions:
-                self._store(replace(known, on_questions=True), "answer")
+            if rate is not None and on_questions != known.on_query_replies:
+                self._store(replace(known, on_query_replies=True), "answer")
         elif sent_at >= entry.learned_at:
             self._store(RateLimit(instance, known.version + 1, rate, on_questions), "answer")
         elif rate is not None and rate < known.bound:
-            self._store(replace(known, rate=rate, on_questions=on_questions), "answer")
+            self._store(replace(known, rate=rate, on_query_replies=on_questions), "answer")
 
     def merge(self, limit: RateLimit) -> None:
         """Merge a limit received from a peer."""
--- a/deckcourse/gateway/row_intake.py
+++ b/deckcourse/gateway/row_intake.py
@@ -159,7 +159,7 @@
 
     def _close_idle(self, upstream: Upstream | None) -> None:
         if upstream is not None:
-            self._pool.forget(upstream.address)
+            self._pool.close_idle(upstream.address)
 
     def _decode(self, key: str, value: bytes) -> Upstream | None:
         match self._reader.upstream(key, value):
--- a/deckcourse/gateway/server.py
+++ b/deckcourse/gateway/server.py
@@ -10,8 +10,8 @@
 from deckcourse.http1.server import (
     Exchange,
     Handler,
+    IdleConnections,
     IncomingRequest,
-    RestingConnections,
     serve_connection,
 )
 from deckcourse.settings import Address
@@ -69,7 +69,7 @@
         self._ready_path = ready_path
         self._log = log
         self._stop = trio.Event()
-        self._idle_connections = RestingConnections()
+        self._idle_connections = IdleConnections()
 
     def stop(self) -> None:
         """Begin the orderly shutdown."""
@@ -133,8 +133,8 @@
     async def _answer_ready(self, request: IncomingRequest, exchange: Exchange) -> None:
         is_ready_path = request.target.partition(b"?")[0] == self._ready_path
         status = 404 if not is_ready_path else 200 if self._node.ready else 503
-        await exchange.whole(status, (), b"")
+        await exchange.respond(status, (), b"")
 
     async def _answer_metrics(self, request: IncomingRequest, exchange: Exchange) -> None:
         kind = (b"content-type", b"text/plain; version=0.0.4")
-        await exchange.whole(200, (kind,), self._metrics())
+        await exchange.respond(200, (kind,), self._metrics())
--- a/deckcourse/gateway/stream.py
+++ b/deckcourse/gateway/stream.py
@@ -257,8 +257,10 @@
         context.monitor.add(stream)
         try:
             with stream.interruptible():
-                connection = await context.pool.acquire(first.address, unlike=stream.request_id)
-            with context.pool.kept_or_closed(connection):
+                connection = await context.pool.acquire(
+                    first.address, without_call=stream.request_id
+                )
+            with context.pool.release_after_call(connection):
                 result = await self._exchange(connection, stream, token)
         except ConnectionLostError as failure:
             result = await self._on_failure(stream, failure)
@@ -297,7 +299,7 @@
         self._avoided.add(instance)
         if failure.kind is FailureKind.UNSENT:
             self._context.upstreams.suspect(instance, UNREACHABLE_COOLDOWN_SECONDS, lost=True)
-            self._context.pool.forget(stream.path.stages[0].address)
+            self._context.pool.close_idle(stream.path.stages[0].address)
             self._context.count(f"retry.{RetryReason.UNREACHABLE}")
             return _Refused(RetryReason.UNREACHABLE, failure.message)
         await self._report_interrupted(stream)
@@ -340,7 +342,7 @@
             return await self._relay(reply, stream)
         stream.is_waiting = False
         with stream.interruptible():
-            body = await reply.whole_body()
+            body = await reply.read_body()
         if facts.not_run:
             self._executions -= 1
             self._retries.note_refused(stream.path.stages[0].instance)
@@ -353,7 +355,7 @@
             reply.status >= SERVER_ERROR and self._retries.may_run_elsewhere()
         ):
             return _Broken(f"upstream answered {reply.status}")
-        await self._admitted.exchange.whole(reply.status, end_to_end(reply.headers), body)
+        await self._admitted.exchange.respond(reply.status, end_to_end(reply.headers), body)
         return _Finished(reply.status)
 
     def _on_refusal(self, stream: ActiveStream, status: int, facts: ReplyFacts) -> _AttemptResult:
--- a/deckcourse/gateway/token_client.py
+++ b/deckcourse/gateway/token_client.py
@@ -79,7 +79,7 @@
     def note_issuer(self, member: Member) -> None:
         """Record the issuer, and add it to the roster if it is missing there."""
         self._issuer = member.name
-        self._roster.take((member,))
+        self._roster.merge((member,))
 
     def note_holder(self, name: str) -> None:
         """Record the issuer by name."""
--- a/deckcourse/http1/client.py
+++ b/deckcourse/http1/client.py
@@ -18,8 +18,8 @@
 from deckcourse.http1.transport import Dial, Transport, dial_tcp
 
 __all__ = [
-    "NAMELESS",
-    "REMEMBERED_CALLS",
+    "UNNAMED_CALL",
+    "MAX_REMEMBERED_CALLS",
     "ConnectionPool",
     "UpstreamConnection",
     "UpstreamReply",
@@ -33,12 +33,12 @@
 # An upstream may send an answer a second time, in place of a later one on the same connection. An
 # answer is recognized as a duplicate if it belongs to one of this many recent calls, and at most
 # this many duplicates in a row are skipped.
-REMEMBERED_CALLS = 8
+MAX_REMEMBERED_CALLS = 8
 # A duplicate answer arrives in one piece. One that is not complete this long after its head may
 # have no end, and would hide the answer that follows it.
-SURPLUS_SECONDS = 0.03
+DUPLICATE_TIMEOUT_SECONDS = 0.03
 # The name of calls whose answers carry no request id.
-NAMELESS = ""
+UNNAMED_CALL = ""
 # Largest response body that is held in memory.
 MAX_BODY_BYTES = 4 * 1024 * 1024
 _STATUS_LINE = re.compile(rb"HTTP/1\.[01] [0-9]{3}")
@@ -53,7 +53,7 @@
         self._connection = connection
 
     @property
-    def followed(self) -> bool:
+    def has_trailing_bytes(self) -> bool:
         """Whether bytes arrived after the complete answer."""
         return self._connection.has_trailing_bytes
 
@@ -65,7 +65,7 @@
         """
         return await self._connection.next_data()
 
-    async def whole_body(self) -> bytes:
+    async def read_body(self) -> bytes:
         """Return the whole body.
 
         Raises:
@@ -93,7 +93,7 @@
         self._idle_timeout_seconds = DEFAULT_IDLE_TIMEOUT_SECONDS
         self._parked_at = 0.0
         self._idle_deadline = 0.0
-        self._recent_calls: deque[str] = deque(maxlen=REMEMBERED_CALLS)
+        self._recent_calls: deque[str] = deque(maxlen=MAX_REMEMBERED_CALLS)
         self._request_events: tuple[h11.Event, ...] = ()
 
     @property
@@ -101,15 +101,15 @@
         """Whether bytes arrived after the most recent answer."""
         return bool(self._h11.trailing_data[0])
 
-    def note_call(self, name: str) -> None:
-        """Remember a call by the request id that its answer carries, or as NAMELESS."""
+    def record_call(self, name: str) -> None:
+        """Remember a call by the request id that its answer carries, or as UNNAMED_CALL."""
         self._recent_calls.append(name)
 
-    def had_call(self, name: str) -> bool:
+    def has_recent_call(self, name: str) -> bool:
         """Return whether a recent call had this name: a duplicate of its answer may arrive."""
         return name in self._recent_calls
 
-    def retire(self) -> None:
+    def close_after_call(self) -> None:
         """Close the connection after the current call."""
         self._closing = True
 
@@ -145,7 +145,7 @@
           ConnectionLostError: as `call`; also MALFORMED if the skipped answer is incomplete or the
             last one on the connection.
         """
-        with trio.move_on_after(SURPLUS_SECONDS):
+        with trio.move_on_after(DUPLICATE_TIMEOUT_SECONDS):
             while await self.next_data() is not None:
                 pass
         try:
@@ -201,7 +201,7 @@
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
             raise ConnectionLostError(FailureKind.LOST, _error_text(error)) from error
 
-    def reusable(self) -> bool:
+    def is_reusable(self) -> bool:
         """Return whether another call may follow: answer read to its end, no trailing bytes."""
         if self._closing or self._ended or self._h11.our_state is not h11.DONE:
             return False
@@ -216,7 +216,7 @@
         self._parked_at = trio.current_time()
         self._idle_deadline = self._parked_at + self._idle_timeout_seconds
 
-    def sound(self, max_idle_seconds: float) -> bool:
+    def is_usable(self, max_idle_seconds: float) -> bool:
         """Return whether an idle connection may be used: not expired, not closed, no unread bytes.
 
         Args:
@@ -253,20 +253,20 @@
         self,
         address: str,
         max_idle_seconds: float = DEFAULT_IDLE_TIMEOUT_SECONDS,
-        unlike: str | None = None,
+        without_call: str | None = None,
     ) -> UpstreamConnection:
         """Return a connection to `IP:port`, an idle one if any is usable.
 
         Args:
           address: the address of the upstream.
           max_idle_seconds: idle connections unused for longer are not taken.
-          unlike: idle connections that recently had a call of this name are not taken either: a
-            duplicate of its answer would be taken for the answer to this call.
+          without_call: idle connections that recently had a call of this name are not taken either:
+            a duplicate of its answer would be taken for the answer to this call.
 
         Raises:
           ConnectionLostError: UNSENT, the address is unreachable.
         """
-        connection = self._take_idle(address, max_idle_seconds, unlike)
+        connection = self._take_idle(address, max_idle_seconds, without_call)
         if connection is not None:
             self._count("connection.reused")
             return connection
@@ -282,41 +282,41 @@
         return UpstreamConnection(address, await self._dial(address))
 
     def _take_idle(
-        self, address: str, max_idle_seconds: float, unlike: str | None
+        self, address: str, max_idle_seconds: float, without_call: str | None
     ) -> UpstreamConnection | None:
         idle = self._idle.get(address, [])
         for index in reversed(range(len(idle))):
             connection = idle[index]
-            if not connection.sound(max_idle_seconds):
+            if not connection.is_usable(max_idle_seconds):
                 self._count("connection.unsound")
                 idle.pop(index).abort()
-            elif unlike is None or not connection.had_call(unlike):
+            elif without_call is None or not connection.has_recent_call(without_call):
                 return idle.pop(index)
         return None
 
     @asynccontextmanager
-    async def lent(
+    async def borrow(
         self,
         address: str,
         max_idle_seconds: float = DEFAULT_IDLE_TIMEOUT_SECONDS,
-        unlike: str | None = None,
+        without_call: str | None = None,
     ) -> AsyncIterator[UpstreamConnection]:
         """Acquire a connection for one call; close it if the call is interrupted.
 
         Args:
           address: see `acquire`.
           max_idle_seconds: see `acquire`.
-          unlike: see `acquire`.
+          without_call: see `acquire`.
 
         Raises:
           ConnectionLostError: UNSENT, the address is unreachable.
         """
-        connection = await self.acquire(address, max_idle_seconds, unlike)
-        with self.kept_or_closed(connection):
+        connection = await self.acquire(address, max_idle_seconds, without_call)
+        with self.release_after_call(connection):
             yield connection
 
     @contextmanager
-    def kept_or_closed(self, connection: UpstreamConnection) -> Iterator[None]:
+    def release_after_call(self, connection: UpstreamConnection) -> Iterator[None]:
         """Release the connection after the call made inside, or close it if that raises.
 
         Args:
@@ -331,17 +331,17 @@
 
     def release(self, connection: UpstreamConnection) -> None:
         """Return a connection to the pool; close it instead if its call did not end properly."""
-        if not connection.reusable():
+        if not connection.is_reusable():
             connection.abort()
             return
         connection.park()
         self._idle[connection.address].append(connection)
 
-    def idle(self, address: str) -> int:
+    def idle_count(self, address: str) -> int:
         """Return the number of idle connections to an address."""
         return len(self._idle.get(address, ()))
 
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close the idle connections to an address that is no longer used."""
         for connection in self._idle.pop(address, []):
             connection.abort()
--- a/deckcourse/http1/server.py
+++ b/deckcourse/http1/server.py
@@ -21,7 +21,7 @@
     "Exchange",
     "Handler",
     "IncomingRequest",
-    "RestingConnections",
+    "IdleConnections",
     "serve_connection",
 ]
 
@@ -67,7 +67,7 @@
     """The client closed the connection, or was idle for too long between requests."""
 
 
-class RestingConnections:
+class IdleConnections:
     """The connections without a request in progress; they may be closed at any time."""
 
     def __init__(self) -> None:
@@ -100,7 +100,7 @@
 
 
 class Exchange:
-    """The response to one request: streamed by `start`, `send` and `finish`, or sent by `whole`.
+    """The response to one request: streamed by `start`, `send` and `finish`, or sent by `respond`.
 
     A write that is cancelled before it begins has no effect: another response may still be sent. If
     it is cancelled later, the connection is torn: each further write raises
@@ -132,7 +132,7 @@
         """Mark the end of the body."""
         await self._connection.send(h11.EndOfMessage())
 
-    async def whole(self, status: int, headers: Headers, body: bytes) -> None:
+    async def respond(self, status: int, headers: Headers, body: bytes) -> None:
         """Send a complete response."""
         length = (b"content-length", str(len(body)).encode())
         other_headers = tuple(each for each in headers if each[0] != b"content-length")
@@ -147,7 +147,7 @@
     handler: Handler,
     limits: Callable[[], ConnectionLimits],
     closing: Callable[[], bool],
-    idle_connections: RestingConnections | None = None,
+    idle_connections: IdleConnections | None = None,
 ) -> None:
     """Serve the requests of one connection until either side closes it.
 
@@ -160,7 +160,7 @@
       idle_connections: the set that holds the connection while it has no request in progress.
     """
     connection = _Connection(
-        stream, handler, limits, closing, idle_connections or RestingConnections()
+        stream, handler, limits, closing, idle_connections or IdleConnections()
     )
     try:
         await connection.run()
@@ -191,7 +191,7 @@
         handler: Handler,
         limits: Callable[[], ConnectionLimits],
         closing: Callable[[], bool],
-        idle_connections: RestingConnections,
+        idle_connections: IdleConnections,
     ) -> None:
         self._idle_connections = idle_connections
         self._stream = stream
--- a/deckcourse/peers/crash.py
+++ b/deckcourse/peers/crash.py
@@ -25,9 +25,9 @@
     Attributes:
       identity: the identity of the request.
       instance: the incarnation that crashed.
-      known_ends: how many crashes under this request were known when it was sent there.
+      known_crashes: how many crashes under this request were known when it was sent there.
     """
 
     identity: _Identity
     instance: _Instance
-    known_ends: Annotated[int, Meta(ge=0, le=MAX_KNOWN_CRASHES)] = 0
+    known_crashes: Annotated[int, Meta(ge=0, le=MAX_KNOWN_CRASHES)] = 0
--- a/deckcourse/peers/datagrams.py
+++ b/deckcourse/peers/datagrams.py
@@ -63,7 +63,7 @@
     """
 
     def __init__(self, lost: Callable[[str, str], bool] = lambda source, target: False) -> None:
-        self._lost = lost
+        self._is_lost = lost
         self._waiting: dict[str, trio.MemorySendChannel[bytes]] = {}
 
     def open(self, address: str) -> "MemoryDatagrams":
@@ -72,10 +72,10 @@
         self._waiting[address] = send
         return MemoryDatagrams(self, address, receive)
 
-    def carry(self, source: str, target: str, data: bytes) -> None:
+    def deliver(self, source: str, target: str, data: bytes) -> None:
         """Deliver a datagram, if the target is open and its queue has room."""
         queue = self._waiting.get(target)
-        if queue is None or self._lost(source, target):
+        if queue is None or self._is_lost(source, target):
             return
         try:
             queue.send_nowait(data)
@@ -96,7 +96,7 @@
     async def send(self, address: str, data: bytes) -> None:
         """Send a datagram; it arrives immediately or is lost."""
         await trio.lowlevel.checkpoint()
-        self._medium.carry(self._address, address, data)
+        self._medium.deliver(self._address, address, data)
 
     async def receive(self) -> bytes:
         """Return the next datagram."""
--- a/deckcourse/peers/gossip.py
+++ b/deckcourse/peers/gossip.py
@@ -172,7 +172,7 @@
             if digest is None:
                 self._count("malformed.digest")
                 continue
-            self._roster.take((digest.sender, *digest.members))
+            self._roster.merge((digest.sender, *digest.members))
             for crash in digest.crashes:
                 self._on_crash(crash)
             if digest.wants_reply:
--- a/deckcourse/peers/knowledge.py
+++ b/deckcourse/peers/knowledge.py
@@ -122,10 +122,10 @@
             self.note_store_recovered(min(now, origin + frame.recovered))
         for update in frame.updates:
             if update.table in self._replicas:
-                self._replicas[update.table].take(update)
+                self._replicas[update.table].merge(update)
         for name, (version, seconds) in frame.as_of.items():
             if name in self._replicas:
                 self._replicas[name].confirm(version, min(now, origin + seconds))
         for row in frame.loads:
-            self._loads.note(replace(row, at=min(now, origin + row.at)))
+            self._loads.record(replace(row, at=min(now, origin + row.at)))
         self.notify_waiters()
--- a/deckcourse/peers/loads.py
+++ b/deckcourse/peers/loads.py
@@ -45,7 +45,7 @@
         return self.running + self.queued
 
     @property
-    def sound(self) -> bool:
+    def is_valid(self) -> bool:
         """Whether its figures are in range; peers reject a whole frame with any other row."""
         counts = (self.running, self.queued)
         in_range = all(0 <= each <= MAX_REQUESTS for each in counts)
@@ -66,9 +66,9 @@
         self._sequences: dict[str, int] = {}
         self._sequence = 0
 
-    def note(self, row: LoadRow) -> None:
+    def record(self, row: LoadRow) -> None:
         """Record the load of an upstream, unless it is invalid or a newer one is known."""
-        if not row.sound:
+        if not row.is_valid:
             return
         current = self._rows.get(row.instance)
         if current is None or row.at > current.at:
@@ -81,7 +81,7 @@
         rows = (each for each in self.all() if self._sequences[each.instance] > sequence)
         return tuple(rows), self._sequence
 
-    def known(self, instance: str) -> LoadRow | None:
+    def get(self, instance: str) -> LoadRow | None:
         """Return the newest load of an upstream, None if there is none that is still valid."""
         row = self._rows.get(instance)
         if row is None or row.at < self._clock() - LOAD_TTL_SECONDS:
--- a/deckcourse/peers/member.py
+++ b/deckcourse/peers/member.py
@@ -34,7 +34,7 @@
       address: where it accepts other processes, over both TCP and UDP.
       domain: its failure domain.
       weight: its capacity for serving others, relative to the other members.
-      beat: its heartbeat, a counter that rises while it is alive.
+      heartbeat: a counter that rises while it is alive.
       leaving: whether it announced its shutdown.
     """
 
@@ -43,7 +43,7 @@
     address: _Text
     domain: _Text
     weight: Annotated[float, Meta(ge=0.0, le=MAX_WEIGHT)] = 1.0
-    beat: _Integer = 0
+    heartbeat: _Integer = 0
     leaving: bool = False
 
 
--- a/deckcourse/peers/peers.py
+++ b/deckcourse/peers/peers.py
@@ -91,7 +91,7 @@
         """Serve a subscriber, or an operator that requests the membership view."""
         if request.target == MEMBERS_PATH:
             content_type = (b"content-type", b"application/json")
-            await exchange.whole(
+            await exchange.respond(
                 200, (content_type,), encode_view(view_of(self._roster, self._feed))
             )
             return
--- a/deckcourse/peers/purpose.py
+++ b/deckcourse/peers/purpose.py
@@ -8,9 +8,9 @@
 class Purpose(StrEnum):
     """The kind of message that a token is spent on.
 
-    A question is a control message that only reads state; an order changes something.
+    A query is a control message that only reads state; an order changes something.
     """
 
     REQUEST = "request"
-    QUESTION = "question"
+    QUERY = "question"
     ORDER = "order"
--- a/deckcourse/peers/rate_limit.py
+++ b/deckcourse/peers/rate_limit.py
@@ -22,14 +22,14 @@
       instance: the incarnation of the upstream.
       version: incremented with each change; equal versions resolve to the stricter limit.
       rate: requests per second, None if the limit has ended.
-      on_questions: whether replies to queries carry the limit; only then does its absence from such
-        a reply end it.
+      on_query_replies: whether replies to queries carry the limit; only then does its absence from
+        such a reply end it.
     """
 
     instance: Annotated[str, Meta(min_length=1, max_length=MAX_INSTANCE_LENGTH)]
     version: Annotated[int, Meta(ge=1, le=MAX_VERSION)]
     rate: Annotated[float, Meta(ge=0.0, le=MAX_RATE)] | None
-    on_questions: bool = False
+    on_query_replies: bool = False
 
     @property
     def bound(self) -> float:
@@ -44,4 +44,4 @@
 
     @property
     def _rank(self) -> tuple[int, float, bool]:
-        return self.version, -self.bound, self.on_questions
+        return self.version, -self.bound, self.on_query_replies
--- a/deckcourse/peers/relay.py
+++ b/deckcourse/peers/relay.py
@@ -77,7 +77,7 @@
         """Serve one subscriber until it disconnects or the server stops."""
         changes_request = decode_request(request.body)
         if request.target != RELAY_PATH or changes_request is None or self._stopped:
-            await exchange.whole(503 if self._stopped else 404, (), b"")
+            await exchange.respond(503 if self._stopped else 404, (), b"")
             return
         origin = trio.current_time()
         self._subscriber_count += 1
--- a/deckcourse/peers/replica.py
+++ b/deckcourse/peers/replica.py
@@ -75,7 +75,7 @@
         if self._version is not None and self._version >= version:
             self._as_of = max(self._as_of, as_of)
 
-    def take(self, update: TableUpdate) -> bool:
+    def merge(self, update: TableUpdate) -> bool:
         """Apply an update; return whether it is newer and leaves no gap after the known version."""
         if self._version is not None and update.version <= self._version:
             return False
--- a/deckcourse/peers/roster.py
+++ b/deckcourse/peers/roster.py
@@ -51,13 +51,13 @@
 
     def advance_heartbeat(self) -> None:
         """Raise the heartbeat of this process."""
-        self._own = replace(self._own, beat=self._own.beat + 1)
+        self._own = replace(self._own, heartbeat=self._own.heartbeat + 1)
 
     def mark_leaving(self) -> None:
         """Mark this process as leaving."""
-        self._own = replace(self._own, leaving=True, beat=self._own.beat + 1)
+        self._own = replace(self._own, leaving=True, heartbeat=self._own.heartbeat + 1)
 
-    def take(self, members: Iterable[Member]) -> None:
+    def merge(self, members: Iterable[Member]) -> None:
         """Merge the members that another process knows, except for superseded entries."""
         now = self._clock()
         for member in members:
@@ -74,7 +74,7 @@
         if current is None:
             return len(self._entries) < MAX_MEMBERS
         if member.start == current.member.start:
-            return member.beat > current.member.beat
+            return member.heartbeat > current.member.heartbeat
         return member.start > current.member.start or now - current.updated_at >= MEMBER_TTL_SECONDS
 
     def live(self) -> tuple[Member, ...]:
--- a/deckcourse/peers/shared_feed.py
+++ b/deckcourse/peers/shared_feed.py
@@ -109,7 +109,7 @@
         return self._is_follower
 
     @property
-    def paces(self) -> bool:
+    def paces_reads(self) -> bool:
         """Whether an early read waits here until the store may be read or a source sends changes.
 
         Without sources, the reader has to back off itself.
@@ -117,7 +117,7 @@
         return bool(self._sources())
 
     @property
-    def seconds_behind(self) -> float:
+    def staleness_seconds(self) -> float:
         """The staleness of the newest replica of this process, seconds."""
         return trio.current_time() - self._shared_state.latest_as_of
 
@@ -192,7 +192,7 @@
             self._shared_state.note_store_recovered(trio.current_time())
         self._schedule.note_success()
         replica = self._shared_state.replica(update.table)
-        replica.take(update)
+        replica.merge(update)
         replica.confirm(update.version, as_of)
         self._shared_state.notify_waiters()
 
@@ -273,14 +273,14 @@
                 "duty", follows=is_follower, chosen=is_ranked, alone=is_alone, members=len(members)
             )
             self._shared_state.notify_waiters()
-        self._schedule.note_staleness(is_follower, self.seconds_behind)
+        self._schedule.note_staleness(is_follower, self.staleness_seconds)
         self._set_gauges(members)
 
     def _set_gauges(self, members: tuple[Member, ...]) -> None:
         self._gauge("peers.members", len(members))
         self._gauge("peers.follows", float(self._is_follower))
         self._gauge("peers.serving", self._server.subscriber_count)
-        self._gauge("peers.seconds-behind", self.seconds_behind)
+        self._gauge("peers.seconds-behind", self.staleness_seconds)
 
     def _sources(self) -> tuple[Member, ...]:
         """Return the sources that may be used, recently stale ones last."""
--- a/deckcourse/peers/token_messages.py
+++ b/deckcourse/peers/token_messages.py
@@ -15,7 +15,7 @@
 __all__ = [
     "MAX_LIMITS_PER_MESSAGE",
     "TOKEN_PREFIX",
-    "LimitNews",
+    "LimitUpdate",
     "TokenMessage",
     "TokenReply",
     "TokenRequest",
@@ -77,14 +77,14 @@
     instance: _Text
 
 
-class LimitNews(msgspec.Struct, frozen=True, array_like=True, tag="limits"):
+class LimitUpdate(msgspec.Struct, frozen=True, array_like=True, tag="limits"):
     """Changed limits, or all of them if sent by the issuer."""
 
     limits: Annotated[tuple[RateLimit, ...], Meta(max_length=MAX_LIMITS_PER_MESSAGE)]
     issuer: Member | None = None
 
 
-TokenMessage = TokenRequest | TokenReply | TokenReturn | LimitNews
+TokenMessage = TokenRequest | TokenReply | TokenReturn | LimitUpdate
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(TokenMessage)
--- a/deckcourse/peers/view.py
+++ b/deckcourse/peers/view.py
@@ -50,7 +50,7 @@
         feed.follows,
         feed.source,
         feed.server.subscriber_count,
-        round(feed.seconds_behind, 3),
+        round(feed.staleness_seconds, 3),
         tuple(MemberView(each.name, each.domain, each.address, each.leaving) for each in live),
     )
 
--- a/deckcourse/platform/runners.py
+++ b/deckcourse/platform/runners.py
@@ -19,8 +19,8 @@
 from deckcourse.gateway.upstream import StartNews, Upstream
 from deckcourse.gateway.upstream_notice import UpstreamNotice
 from deckcourse.http1.client import (
-    NAMELESS,
-    REMEMBERED_CALLS,
+    MAX_REMEMBERED_CALLS,
+    UNNAMED_CALL,
     ConnectionPool,
     UpstreamReply,
 )
@@ -182,7 +182,7 @@
 
     async def pulse(self, upstream: Upstream, seconds: float) -> PulseReading:
         """Probe a runner with a query; DEAD if its machine refuses connections."""
-        if not await self._admit(upstream.instance, Purpose.QUESTION):
+        if not await self._admit(upstream.instance, Purpose.QUERY):
             return PulseReading(Pulse.UNASKED)
         seconds = self._timeout(seconds)
         wait = _TimedWait(seconds)
@@ -190,7 +190,7 @@
         if reading.pulse is Pulse.SILENT:
             self._record_timeout(upstream, wait)
         if reading.pulse is Pulse.SILENT and wait.process_was_paused:
-            if not await self._admit(upstream.instance, Purpose.QUESTION):
+            if not await self._admit(upstream.instance, Purpose.QUERY):
                 return PulseReading(Pulse.UNASKED)
             return await self._probe_once(upstream, seconds)
         return reading
@@ -214,7 +214,7 @@
         with trio.move_on_after(seconds):
             # An idle connection may have been closed by the runner, so a failure is retried once.
             for attempt in range(2):
-                if attempt and not await self._admit(upstream.instance, Purpose.QUESTION):
+                if attempt and not await self._admit(upstream.instance, Purpose.QUERY):
                     return PulseReading(Pulse.ALIVE if has_replied else Pulse.UNASKED)
                 try:
                     status, content = await self._exchange(upstream, b"GET", REPORT)
@@ -259,7 +259,7 @@
         upstream: Upstream,
         value: object,
         seconds: float,
-        purpose: Purpose = Purpose.QUESTION,
+        purpose: Purpose = Purpose.QUERY,
     ) -> tuple[int, bytes] | None:
         """Send an order on a connection where no duplicate reply can be taken for its reply.
 
@@ -316,7 +316,7 @@
             await trio.sleep(TOKEN_RETRY_INTERVAL_SECONDS)
 
     async def _report_if_admitted(
-        self, upstream: Upstream, purpose: Purpose = Purpose.QUESTION
+        self, upstream: Upstream, purpose: Purpose = Purpose.QUERY
     ) -> Report | None:
         """Return a runner's report, None without a reply or without a token."""
         try:
@@ -324,9 +324,7 @@
         except _NotAdmittedError:
             return None
 
-    async def _report(
-        self, upstream: Upstream, purpose: Purpose = Purpose.QUESTION
-    ) -> Report | None:
+    async def _report(self, upstream: Upstream, purpose: Purpose = Purpose.QUERY) -> Report | None:
         """Return a runner's report, None if none came in time or another incarnation replied.
 
         If this process was paused at the timeout, the reply may have come unread, and the query is
@@ -372,25 +370,25 @@
         if body:
             headers.append((b"content-type", b"application/json"))
             headers.append((b"content-length", str(len(body)).encode()))
-        async with self._pool.lent(upstream.address, unlike=call_name) as connection:
+        async with self._pool.borrow(upstream.address, without_call=call_name) as connection:
             sent_at = trio.current_time()
             reply = await connection.call(method, target, tuple(headers), body)
             reply_id = _id(reply)
-            for _ in range(REMEMBERED_CALLS):
-                if reply_id in (call_id, NAMELESS) or not connection.had_call(reply_id):
+            for _ in range(MAX_REMEMBERED_CALLS):
+                if reply_id in (call_id, UNNAMED_CALL) or not connection.has_recent_call(reply_id):
                     break
                 reply = await connection.next_reply()
                 reply_id = _id(reply)
-            if reply_id not in (call_id, NAMELESS):
+            if reply_id not in (call_id, UNNAMED_CALL):
                 raise ConnectionLostError(
                     FailureKind.MALFORMED, "the reply belongs to another call"
                 )
-            connection.note_call(reply_id)
-            if reply_id == NAMELESS and call_name is not None:
-                connection.note_call(call_name)
-                if self._pool.idle(upstream.address) >= MAX_IDLE_AFTER_ORDER:
-                    connection.retire()
-            content = await reply.whole_body()
+            connection.record_call(reply_id)
+            if reply_id == UNNAMED_CALL and call_name is not None:
+                connection.record_call(call_name)
+                if self._pool.idle_count(upstream.address) >= MAX_IDLE_AFTER_ORDER:
+                    connection.close_after_call()
+            content = await reply.read_body()
             answered_at = trio.current_time()
             self._answer_times.record(upstream.instance, answered_at - sent_at, answered_at)
         self._apply_notice(upstream, notice_of(reply), content, sent_at)
--- a/deckcourse/platform/store.py
+++ b/deckcourse/platform/store.py
@@ -130,9 +130,9 @@
             headers.append((b"content-type", b"application/json"))
         try:
             with trio.move_on_after(seconds):
-                async with self._pool.lent(self._address) as connection:
+                async with self._pool.borrow(self._address) as connection:
                     reply = await connection.call(method, target.encode(), tuple(headers), body)
-                    return Success((reply.status, await reply.whole_body()))
+                    return Success((reply.status, await reply.read_body()))
         except ConnectionLostError as failure:
             if failure.kind is FailureKind.UNSENT:
                 return Failure(TableFailure.UNAVAILABLE)
--- a/features/foreign_rows.py
+++ b/features/foreign_rows.py
@@ -65,7 +65,7 @@
     async def handle(request, exchange):
         targets.append(request.target)
         assert len(targets) < 20, targets[:4]
-        await exchange.whole(200, (), answer(request.target))
+        await exchange.respond(200, (), answer(request.target))
 
     async def work():
         async with trio.open_nursery() as nursery:
--- a/features/gateway_runner.py
+++ b/features/gateway_runner.py
@@ -179,7 +179,7 @@
         if self.control_delay and request.target.startswith(b"/v1/"):
             await trio.sleep(self.control_delay)
         if self.refuses_control and request.target.startswith(b"/v1/"):
-            await exchange.whole(503, self.refusal(), b"")
+            await exchange.respond(503, self.refusal(), b"")
         elif has_control_calls and request.target == b"/v1/report":
             await trio.sleep_until(self.silent_until)
             report = {
@@ -193,7 +193,7 @@
                     if trio.current_time() - since >= REPORT_LAG_SECONDS
                 ],
             }
-            await exchange.whole(200, self.control_call_headers, json.dumps(report).encode())
+            await exchange.respond(200, self.control_call_headers, json.dumps(report).encode())
         elif has_control_calls and request.target == b"/v1/order":
             await self.order(json.loads(request.body), exchange)
         else:
@@ -208,16 +208,16 @@
             known = order["id"] in self.paths
             if known:
                 self.set_path(order["id"], order["path"])
-            await exchange.whole(200 if known else 404, self.control_call_headers, start_fields)
+            await exchange.respond(200 if known else 404, self.control_call_headers, start_fields)
             return
         if not self.obeys or order["expectedRev"] != self.orders:
-            await exchange.whole(409, self.control_call_headers, start_fields)
+            await exchange.respond(409, self.control_call_headers, start_fields)
             return
         self.orders += 1
         self.unloaded_at_once = order["how"] == "cut"
         self.first, self.end = order["rangeStart"], order["targetVersion"]
         self.world.orders.append((self.instance, self.first, self.end))
-        await exchange.whole(202, self.control_call_headers, start_fields)
+        await exchange.respond(202, self.control_call_headers, start_fields)
         self.world.store.put("servers", self.instance, self.row())
 
     def set_path(self, name, text):
@@ -233,11 +233,11 @@
         arrival = ReceivedRequest(name, self.instance, self.born, trio.current_time())
         self.world.arrivals.append(arrival)
         if headers.get("x-expected-instance", self.instance) != self.instance:
-            await exchange.whole(421, (answer[0], *self.response_headers), b"")
+            await exchange.respond(421, (answer[0], *self.response_headers), b"")
             return
         if self.behaviour == "full":
             self.world.refusals += 1
-            await exchange.whole(503, (answer[0], *self.refusal()), b"")
+            await exchange.respond(503, (answer[0], *self.refusal()), b"")
             return
         run = Run(name, self.instance, headers, request.target.decode(), request.body)
         self.world.runs.append(run)
@@ -256,7 +256,7 @@
             answer = ((b"x-request-id", b"another"), *answer[1:])
         status = 500 if self.behaviour == "fails" else 200
         run.ended = "answered"
-        await exchange.whole(
+        await exchange.respond(
             status, (*answer, *self.response_headers), f"answer to {run.request}".encode()
         )
 
@@ -267,7 +267,7 @@
             run.ended = "refused"
             self.world.runs.remove(run)
             extra = ((b"x-not-executed", b"1"), (b"at-server", missing.encode()))
-            await exchange.whole(421, (*answer[:1], *extra), b"")
+            await exchange.respond(421, (*answer[:1], *extra), b"")
             return
         first = int(run.headers.get("last-event-id", 0)) + 1
         kind = (b"content-type", b"text/event-stream")
--- a/features/mutants_foreign.py
+++ b/features/mutants_foreign.py
@@ -63,7 +63,7 @@
 
 
 def any_load_is_kept():
-    loads_module.LoadRow.sound = True
+    loads_module.LoadRow.is_valid = True
 
 
 def plans_may_be_nested():
--- a/features/mutants_gateway.py
+++ b/features/mutants_gateway.py
@@ -37,7 +37,7 @@
 from deckcourse.gateway.upstreams import UpstreamTable
 from deckcourse.http1.client import ConnectionPool, UpstreamConnection
 from deckcourse.http1.message import ConnectionLostError, FailureKind
-from deckcourse.http1.server import RestingConnections
+from deckcourse.http1.server import IdleConnections
 from deckcourse.layers.healer import Healer
 from deckcourse.layers.plan_book import PlanBook
 from deckcourse.platform.dialect import PlatformDialect
@@ -170,7 +170,7 @@
 
 
 def nameless_connections_are_kept():
-    UpstreamConnection.retire = lambda self: None
+    UpstreamConnection.close_after_call = lambda self: None
 
 
 def copies_end_the_call():
@@ -181,7 +181,7 @@
 
 
 def halves_of_copies_are_waited_for():
-    client_module.SURPLUS_SECONDS = 1000.0
+    client_module.DUPLICATE_TIMEOUT_SECONDS = 1000.0
 
 
 def heads_may_merge():
@@ -286,11 +286,11 @@
 
 
 def surplus_bytes_pass():
-    UpstreamConnection.reusable = lambda self: not self._closing and not self._ended
+    UpstreamConnection.is_reusable = lambda self: not self._closing and not self._ended
 
 
 def no_drain():
-    RestingConnections.close = lambda self: None
+    IdleConnections.close = lambda self: None
 
 
 def log_without_bound():
--- a/features/mutants_peers.py
+++ b/features/mutants_peers.py
@@ -58,7 +58,7 @@
 
 
 def pauses_add_up():
-    SharedFeed.paces = property(lambda self: False)
+    SharedFeed.paces_reads = property(lambda self: False)
 
 
 def streams_count_as_told():
--- a/features/mutants_requests.py
+++ b/features/mutants_requests.py
@@ -244,12 +244,12 @@
 @mutant("a connection whose call was given up is closed", "cut_writes_elsewhere")
 def given_up_connections_are_kept():
     @contextmanager
-    def kept_or_closed(self, connection):
+    def release_after_call(self, connection):
         try:
             yield
         finally:
             kept = UpstreamConnection(connection.address, connection._transport)
-            kept.sound = lambda longest_idle: True
+            kept.is_usable = lambda longest_idle: True
             self._idle[connection.address].append(kept)
 
-    ConnectionPool.kept_or_closed = kept_or_closed
+    ConnectionPool.release_after_call = release_after_call
--- a/features/peer_world.py
+++ b/features/peer_world.py
@@ -74,7 +74,7 @@
                 wait=lambda: CONTACT_WAIT_SECONDS,
                 process_factor=lambda: max(1.0, len(world.processes) / SMALL_SITE_PROCESSES),
                 gathered=lambda: not self.peers.feed.follows,
-                paced=lambda: self.peers.feed.paces,
+                paced=lambda: self.peers.feed.paces_reads,
             )
             for table in TABLES
         ]  # fmt: skip
--- a/features/steps/foreign_frame_steps.py
+++ b/features/steps/foreign_frame_steps.py
@@ -165,7 +165,7 @@
         # Received from a peer that sent no times.
         shared_state.merge(Frame((VALID_UPDATE,), {}), trio.current_time())
         for running, share in ((-1, 0.5), (10**9, 0.5), (1, float("nan")), (1, -0.5), (2, 0.5)):
-            shared_state.loads.note(LoadRow(f"{running} {share}", running, 0, share, 0.0))
+            shared_state.loads.record(LoadRow(f"{running} {share}", running, 0, share, 0.0))
         return shared_state.next_frame(Subscriber(trio.current_time(), {}))
 
     frame = virtually(work)
@@ -188,7 +188,7 @@
                       (LoadRow("a", 1, 2, 0.5, late),))  # fmt: skip
         shared_state.merge(frame, trio.current_time() - 5.0)
         now = trio.current_time()
-        load = shared_state.loads.known("a")
+        load = shared_state.loads.get("a")
         return shared_state.latest_as_of <= now, noted.returned <= now, load.at <= now
 
     assert virtually(work) == (True, True, True)
@@ -216,7 +216,7 @@
         await trio.sleep(SETTLE_SECONDS)
         for each in world.live_processes:
             for data in malformed_digests():
-                world.medium.carry("a:9", each.address, data)
+                world.medium.deliver("a:9", each.address, data)
                 await trio.sleep(0.01)
         await trio.sleep(SETTLE_SECONDS)
         context.known = [each.live_names() for each in world.live_processes]
@@ -250,7 +250,7 @@
     """Return the result of each query that a report answers."""
 
     async def answer(request, exchange):
-        await exchange.whole(200, (), report)
+        await exchange.respond(200, (), report)
 
     async with trio.open_nursery() as nursery:
         network = MemoryNetwork(nursery, CallerBounds)
@@ -397,10 +397,10 @@
     def check(data):
         own = Member("a", 1, "127.0.0.1:69", "x")
         roster = Roster(own, lambda: 5.0)
-        roster.take([sender])
+        roster.merge([sender])
         found = decode_digest(data)
         if found is not None:
-            roster.take((found.sender, *found.members))
+            roster.merge((found.sender, *found.members))
         assert {each.name for each in roster.live()} >= {"a", "b"}
         followers(roster.live(), "x")
         encode_digest(Digest(roster.own, roster.select_for_digest("x", 18)))
--- a/features/steps/http1_steps.py
+++ b/features/steps/http1_steps.py
@@ -13,7 +13,7 @@
 from deckcourse.http1.client import ConnectionPool, UpstreamConnection
 from deckcourse.http1.memory import MemoryNetwork
 from deckcourse.http1.message import ConnectionLostError
-from deckcourse.http1.server import RestingConnections, serve_connection
+from deckcourse.http1.server import IdleConnections, serve_connection
 from deckcourse.metrics import RegistryCounters
 from deckcourse.platform.store import Store
 from deckcourse.table import Committed, Conflict, TableFailure, Write
@@ -28,7 +28,7 @@
 
 
 async def echo(request, exchange):
-    await exchange.whole(200, (), request.target + b" " + request.body)
+    await exchange.respond(200, (), request.target + b" " + request.body)
 
 
 @when("a client writes {text}")
@@ -56,7 +56,7 @@
 def idle_connection_closes(context, seconds):
     async def closed_after(drain):
         client_stream, server_stream = trio.testing.memory_stream_pair()
-        idle_connections = RestingConnections()
+        idle_connections = IdleConnections()
         started = trio.current_time()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(
@@ -132,7 +132,7 @@
         connection = UpstreamConnection("u:1", context.transport)
         try:
             reply = await connection.call(b"GET", b"/", ((b"host", b"h"),), b"")
-            result = f"{reply.status} {(await reply.whole_body()).decode()}".strip()
+            result = f"{reply.status} {(await reply.read_body()).decode()}".strip()
         except ConnectionLostError as lost:
             connection.abort()
             return str(lost.kind)
@@ -231,7 +231,7 @@
     async def answer(request, exchange):
         if status == 0:
             await trio.sleep_forever()
-        await exchange.whole(status, (), body)
+        await exchange.respond(status, (), body)
 
     async def work():
         async with trio.open_nursery() as nursery:
--- a/features/steps/interruption_steps.py
+++ b/features/steps/interruption_steps.py
@@ -92,7 +92,7 @@
 
     async def answer(request, exchange):
         await trio.sleep(ANSWER_SECONDS)
-        await exchange.whole(200, (), REPORT)
+        await exchange.respond(200, (), REPORT)
 
     async def pause():
         await trio.sleep(PAUSED_AT_SECONDS)
--- a/features/steps/late_answer_steps.py
+++ b/features/steps/late_answer_steps.py
@@ -161,7 +161,7 @@
         at = path[at_fault].partition("=")[0].encode()
         name = header_value(request.headers, b"x-request-id")
         head = ((b"x-request-id", name), (b"x-not-executed", b"1"), (b"at-server", at))
-        await exchange.whole(503, head, b"")
+        await exchange.respond(503, head, b"")
 
     runner.run = run
     return refused
@@ -196,7 +196,7 @@
 
 async def answer_to_body(run, exchange, answer):
     await trio.sleep(0.05)
-    await exchange.whole(200, answer, b"answer to " + run.body)
+    await exchange.respond(200, answer, b"answer to " + run.body)
 
 
 @when("two callers with the same id call one after the other and the first response is repeated")
@@ -229,14 +229,14 @@
 
     async def handler(request, exchange):
         name = header_value(request.headers, b"x-request-id")
-        kept = exchange.whole
+        kept = exchange.respond
 
-        async def whole(status, headers, body):
+        async def respond(status, headers, body):
             if name and not header_value(headers, b"x-request-id"):
                 headers = (*headers, (b"x-request-id", name))
             await kept(status, headers, body)
 
-        exchange.whole = whole
+        exchange.respond = respond
         await handle(request, exchange)
 
     return handler
@@ -279,14 +279,14 @@
         known = {"sequence": self.sequence, "running": 1, "queued": 0, "pace": self.pace}
         report = json.dumps(known).encode()
         if request.target == b"/v1/report":
-            await exchange.whole(200, (), report)
+            await exchange.respond(200, (), report)
         elif request.target == b"/v1/order":
             moved = json.loads(request.body)["op"] == "repath"
-            await exchange.whole(404 if moved else self.order_status, (), b"{}")
+            await exchange.respond(404 if moved else self.order_status, (), b"{}")
         else:
             # The response to a caller may look like a report.
             name = header_value(request.headers, b"x-request-id")
-            await exchange.whole(200, ((b"x-request-id", name),) if name else (), report)
+            await exchange.respond(200, ((b"x-request-id", name),) if name else (), report)
 
 
 class ControlWorld:
@@ -339,7 +339,7 @@
         headers = ((b"host", b"h"), *(((b"x-request-id", name.encode()),) if name else ()))
         caller = dialect.read(IncomingRequest(b"POST", b"/a", headers, b"{}"))
         limits = RateLimitBook(trio.current_time, lambda limit, source: None)
-        async with self.pool.lent(ADDRESS) as connection:
+        async with self.pool.borrow(ADDRESS) as connection:
             reply, _ = await send_request(
                 SimpleNamespace(
                     dialect=dialect, notices=NoticeIntake(None, limits, lambda what: None, print)
@@ -348,7 +348,7 @@
                 connection,
                 Dispatch("u", 1.0),
             )
-            await reply.whole_body()
+            await reply.read_body()
 
 
 ORDER_CALLS = {"order taken": "order", "order held": "order"}
@@ -406,7 +406,7 @@
         async def story(world):
             for _ in range(calls):
                 await world.call("move")
-            return world.pool.idle(ADDRESS)
+            return world.pool.idle_count(ADDRESS)
 
         assert world.play(story) <= most, ids
 
--- a/features/steps/peer_feed_steps.py
+++ b/features/steps/peer_feed_steps.py
@@ -110,8 +110,8 @@
         sources_in_use = [each.peers.feed.source for each in world.live_processes]
         follower = max(world.following(), key=lambda each: sources_in_use.count(each.name))
         queried_at = trio.current_time() - 0.1
-        follower.peers.loads.note(LoadRow("late", 1, 0, 0.1, queried_at + 0.05))
-        follower.peers.loads.note(LoadRow("u", 90, 6, 0.4, queried_at))
+        follower.peers.loads.record(LoadRow("late", 1, 0, 0.1, queried_at + 0.05))
+        follower.peers.loads.record(LoadRow("u", 90, 6, 0.4, queried_at))
         # Other followers query upstreams themselves.
         subscribers = [
             each for each in world.live_processes if each.peers.feed.source == follower.name
@@ -119,12 +119,11 @@
         assert subscribers
         context.elapsed = await world.until(
             lambda: all(
-                each.peers.loads.known("u") and each.peers.loads.known("late")
-                for each in subscribers
+                each.peers.loads.get("u") and each.peers.loads.get("late") for each in subscribers
             ),
             5.0,
         )
-        rows = [each.peers.loads.known("u") for each in subscribers]
+        rows = [each.peers.loads.get("u") for each in subscribers]
         context.is_correct = all(
             each.requests == 96 and queried_at - 0.1 < each.at <= queried_at for each in rows
         )
@@ -145,9 +144,9 @@
         pool = ConnectionPool(lambda what: None, world.network.dial)
         context.views = []
         for each in world.processes:
-            async with pool.lent(each.address) as connection:
+            async with pool.borrow(each.address) as connection:
                 reply = await connection.call(b"GET", MEMBERS_PATH, ((b"host", b"x"),), b"")
-                context.views.append(decode_view(await reply.whole_body()))
+                context.views.append(decode_view(await reply.read_body()))
 
     context.world.play(story)
 
@@ -281,9 +280,9 @@
             keys = set(base) | {key for one in history[(after or 0) : end + 1] for key in one}
             rows = tuple((key, history[end].get(key), end) for key in sorted(keys))
             rows = rows if after is not None else tuple(row for row in rows if row[1] is not None)
-            replica.take(TableUpdate("t", after, end, rows))
+            replica.merge(TableUpdate("t", after, end, rows))
             at = end
             if random.random() < 0.6:
-                other.take(replica.since(other.version))
+                other.merge(replica.since(other.version))
                 held = {row.key[2:]: row.value for row in other.rows}
                 assert held == history[other.version], (seed, held, history[other.version])
--- a/features/steps/peer_steps.py
+++ b/features/steps/peer_steps.py
@@ -138,7 +138,7 @@
         for each in names
     ]
     context.roster = Roster(members[0], clock)
-    context.roster.take(members)
+    context.roster.merge(members)
 
 
 @then("its digest has at most {most:d} bytes")
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -27,9 +27,9 @@
 async def ask_peer(site, process, method, target):
     """Send a request to the peer address of a process; return the status and the body."""
     pool = ConnectionPool(lambda what: None, site.network.dial)
-    async with pool.lent(process.peer_address) as connection:
+    async with pool.borrow(process.peer_address) as connection:
         reply = await connection.call(method, target, ((b"host", b"x"),), b"")
-        return reply.status, await reply.whole_body()
+        return reply.status, await reply.read_body()
 
 
 async def listed_at(site, process):
--- a/features/steps/rate_sharing_steps.py
+++ b/features/steps/rate_sharing_steps.py
@@ -67,10 +67,10 @@
 
 async def issuer_cut(site):
     issuer = site.issuers()[0]
-    usual = site.medium._lost
-    site.medium._lost = lambda a, b: issuer.address in (a, b) or usual(a, b)
+    usual = site.medium._is_lost
+    site.medium._is_lost = lambda a, b: issuer.address in (a, b) or usual(a, b)
     await trio.sleep(FAULT_SECONDS)
-    site.medium._lost = usual
+    site.medium._is_lost = usual
 
 
 async def issuer_without_store(site):
@@ -307,7 +307,7 @@
         target = site.processes[0].address
         request = encode_message(TokenRequest(1, "nobody:1", RateLimit(UPSTREAM, 1, 2.3)))
         for data in (b"", b"\xff" * 50, request[1:-3], b"\x81" * 3000, request[1:]):
-            site.medium.carry("x", target, TOKEN_PREFIX + data)
+            site.medium.deliver("x", target, TOKEN_PREFIX + data)
         await trio.sleep(0.1)
         await callers_come(context, 20)
         context.counts = site.processes[0].counters.counts
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -45,11 +45,11 @@
         self.seen.append(header_value(request.headers, b"x-expected-instance").decode())
         if request.target == b"/v1/report":
             said = {**self.start, "sequence": 3, "running": 1, "queued": 0}
-            await exchange.whole(421 if self.is_another else 200, (), json.dumps(said).encode())
+            await exchange.respond(421 if self.is_another else 200, (), json.dumps(said).encode())
         elif self.is_another:
-            await exchange.whole(421, (), json.dumps(self.start).encode())
+            await exchange.respond(421, (), json.dumps(self.start).encode())
         else:
-            await exchange.whole(self.status, (), json.dumps(self.start).encode())
+            await exchange.respond(self.status, (), json.dumps(self.start).encode())
 
 
 def known(site):
@@ -153,14 +153,14 @@
             *5 * (do_nothing,),
         )
         intake.operator_row("config", json.dumps(default_config()).encode(), 1)
-        replica.take(TableUpdate("servers", None, 1))
+        replica.merge(TableUpdate("servers", None, 1))
         for told in row["told"].split(", "):
             what, _, word = told.rpartition(" ")
             # A peer that is behind sends the state of a superseded version.
             version = 2 if what.endswith("older") else replica.version + 10
             after = None if what.startswith("all") else 1
             value = json.dumps(row_of("p", start_of(word))).encode()
-            if replica.take(TableUpdate("servers", after, version, (("p", value, version),))):
+            if replica.merge(TableUpdate("servers", after, version, (("p", value, version),))):
                 intake.upstream_rows(replica.rows)
         starts = [each.start for each in table.of_service(SERVICE)]
         if starts != [int(row["known"])]:
@@ -314,11 +314,11 @@
             # The crash happens between the query for the order count and the order.
             runner = site.runners["x3"] = site.runners["x3"].restart(2000, tells=False)
             runner.orders, runner.on_order = 1, refuse
-            await exchange.whole(202, (), json.dumps(runner.told_start).encode())
+            await exchange.respond(202, (), json.dumps(runner.told_start).encode())
 
         async def refuse(order, exchange):
             times.order = times.order or trio.current_time()
-            await exchange.whole(409, (), json.dumps({"born": 2000}).encode())
+            await exchange.respond(409, (), json.dumps({"born": 2000}).encode())
 
         # The order in flight gets a reply, as if the restart had been quick enough.
         site.network.kill = lambda address, kept=site.network.kill: (
--- a/features/steps/suspended_steps.py
+++ b/features/steps/suspended_steps.py
@@ -138,7 +138,7 @@
         return await original_dial(address)
 
     site.dial = dial
-    site.pool.forget("p1:1")
+    site.pool.close_idle("p1:1")
     return await site.ask("again", name="r2", headers=[("x-deadline-ms", "1000")])
 
 
@@ -188,10 +188,10 @@
     async def story(world):
         await trio.sleep(SETTLE_SECONDS)
         receiver = next(each for each in world.processes if not each.peers.feed.follows)
-        before = receiver.peers.feed.seconds_behind
+        before = receiver.peers.feed.staleness_seconds
         world.store.away = True
         suspend(world.clock)
-        context.staleness = receiver.peers.feed.seconds_behind - before
+        context.staleness = receiver.peers.feed.staleness_seconds - before
 
     context.world.play(story)
 
--- a/features/steps/torn_write_steps.py
+++ b/features/steps/torn_write_steps.py
@@ -106,7 +106,7 @@
     elif part == "the end":
         await exchange.finish()
     else:
-        await exchange.whole(200, (), EVENT)
+        await exchange.respond(200, (), EVENT)
 
 
 PARTS_BEFORE = {"an event": ["the head"], "the end": ["the head", "an event"]}
@@ -174,7 +174,7 @@
                 scope.cancel()
                 await write(exchange, part)
             if not exchange.started:
-                await exchange.whole(504, (), b"late")
+                await exchange.respond(504, (), b"late")
 
         context.reads[row["part"]] = virtually(lambda: read_with(handler, near, far))  # noqa: B023
 
--- a/features/steps/work_steps.py
+++ b/features/steps/work_steps.py
@@ -151,7 +151,7 @@
                     host.end,
                 )
             )
-            board.note(LoadRow(name, 2, 0, 0.1, 1.0))
+            board.record(LoadRow(name, 2, 0, 0.1, 1.0))
     context.choice = PathChoice(
         "llm", "n", "x", listed, lambda: context.now, None, TrafficShare(lambda: context.now),
         board, lambda: False, Random(1),
@@ -161,7 +161,7 @@
 @given("every upstream is full")
 def all_full(context):
     for row in context.board.all():
-        context.board.note(LoadRow(row.instance, 90, 40, 0.9, row.at + 0.01))
+        context.board.record(LoadRow(row.instance, 90, 40, 0.9, row.at + 0.01))
 
 
 @when("it asks for the second time {question}")
--- a/soak/runner.py
+++ b/soak/runner.py
@@ -135,9 +135,9 @@
         headers = ((b"host", b"x"), (PROBE, b"1"), length)
         try:
             with trio.move_on_after(seconds):
-                async with self._pool.lent(address) as connection:
+                async with self._pool.borrow(address) as connection:
                     reply = await connection.call(method, target, headers, body)
-                    return reply.status, await reply.whole_body()
+                    return reply.status, await reply.read_body()
         except ConnectionLostError:
             return None
         return None
@@ -157,7 +157,7 @@
                 self._notices.was_asked()
                 await self._odd.before_report()
             told = (*JSON_TYPE, *self._notices.control_headers)
-            await exchange.whole(200, told, json.dumps(self._report()).encode())
+            await exchange.respond(200, told, json.dumps(self._report()).encode())
         elif path == "/v1/order":
             self._notices.was_asked()
             await self._order(json.loads(request.body), exchange)
@@ -192,10 +192,10 @@
             stream = self._streams.get(order["id"])
             if stream is not None:
                 stream.path = parse_path(order["path"])
-            await exchange.whole(404 if stream is None else 200, head, told)
+            await exchange.respond(404 if stream is None else 200, head, told)
             return
         if self._is_loading or order["expectedRev"] != self._orders:
-            await exchange.whole(409, head, told)
+            await exchange.respond(409, head, told)
             return
         first, end = order["rangeStart"], order["targetVersion"]
         held = set(range(self._first, self._end)) if order["how"] == "wait" else set()
@@ -205,7 +205,7 @@
         self._is_loading = True
         # Runs outside the handler, which is cancelled when the sender closes the connection.
         self._nursery.start_soon(self._load, first, end)
-        await exchange.whole(202, head, told)
+        await exchange.respond(202, head, told)
 
     async def _load(self, first: int, end: int) -> None:
         """Complete an accepted order: hold its layers after the load time and write the row."""
@@ -225,12 +225,12 @@
         name = headers.get("x-request-id", "")
         known = ((b"x-request-id", name.encode()),)
         if headers.get("x-expected-instance", self._spec.instance) != self._spec.instance:
-            await exchange.whole(421, (*known, (b"x-not-executed", b"1")), b"")
+            await exchange.respond(421, (*known, (b"x-not-executed", b"1")), b"")
             return
         self._notices.arrived(name)
         refusal = self._notices.refusal(name)
         if refusal is not None:
-            await exchange.whole(503, (*known, *refusal), b"")
+            await exchange.respond(503, (*known, *refusal), b"")
             return
         path = parse_path(headers.get("path", ""))
         if not path:
@@ -243,7 +243,7 @@
                 await self._run_request(request, exchange, conversation, odd, stream)
                 return
             extra = ((b"x-not-executed", b"1"), (b"at-server", path_refusal.address.encode()))
-            await exchange.whole(path_refusal.status, (*known, *extra), b"")
+            await exchange.respond(path_refusal.status, (*known, *extra), b"")
         finally:
             # A later run of the same request may have replaced the entry.
             if self._streams.get(name) is stream:
@@ -286,7 +286,7 @@
         answer = _Answer(exchange, conversation, odd, name, own, self._notices)
         if stream is None:
             await trio.sleep(CALL_SECONDS)
-            await answer.whole(f"answer to {name}".encode())
+            await answer.respond(f"answer to {name}".encode())
             return
         after, pad = int(headers.get("last-event-id", 0)), int(headers.get(PAD, 0))
         await self._send_events(name, stream, range(after + 1, EVENTS + 1), pad, answer)
@@ -362,7 +362,7 @@
     def _endless(self) -> bool:
         return self._odd in (Odd.ENDLESS, Odd.ENDLESS_RESET)
 
-    async def whole(self, body: bytes) -> None:
+    async def respond(self, body: bytes) -> None:
         """Answer at once."""
         if self._odd is Odd.ENDLESS_RESET:
             await self._conversation.send_all(raw_head(self._headers) + body[: len(body) // 2])
@@ -374,7 +374,7 @@
             head = raw_head((*self._headers, length))
             await self._conversation.send_all(head + body[: len(body) // 2])
         else:
-            await self._exchange.whole(200, self._headers, body)
+            await self._exchange.respond(200, self._headers, body)
 
     async def start(self) -> None:
         """Begin a stream."""
--- a/soak/store.py
+++ b/soak/store.py
@@ -41,14 +41,14 @@
         """Answer one call."""
         path, fields = fields_of(request)
         if self.refuses:
-            await exchange.whole(503, JSON_TYPE, b"{}")
+            await exchange.respond(503, JSON_TYPE, b"{}")
         elif path == "/v1/rows-tx":
             status, answer = self._transact(json.loads(request.body))
-            await exchange.whole(status, JSON_TYPE, json.dumps(answer).encode())
+            await exchange.respond(status, JSON_TYPE, json.dumps(answer).encode())
         elif path == "/v1/rows-feed":
             await self._feed(fields, exchange)
         else:
-            await exchange.whole(200, JSON_TYPE, json.dumps(self._read(fields)).encode())
+            await exchange.respond(200, JSON_TYPE, json.dumps(self._read(fields)).encode())
 
     def _read(self, fields: dict[str, str]) -> dict[str, object]:
         table, first = fields["table"], fields.get("rangeStart", "")
@@ -84,4 +84,4 @@
             if at > after and name == table
         ]
         answer = {"rows": rows, "ver": self.version}
-        await exchange.whole(200, JSON_TYPE, json.dumps(answer).encode())
+        await exchange.respond(200, JSON_TYPE, json.dumps(answer).encode())
--- a/tools/start_cost.py
+++ b/tools/start_cost.py
@@ -103,9 +103,9 @@
         for _ in range(4):
             some = Random(beat).sample(members, min(18, len(members)))
             told = tuple(
-                Member(each.name, 1, each.address, each.domain, beat=beat) for each in some
+                Member(each.name, 1, each.address, each.domain, heartbeat=beat) for each in some
             )
-            medium.carry("other:1", own, encode_digest(Digest(told[0], told[1:], False)))
+            medium.deliver("other:1", own, encode_digest(Digest(told[0], told[1:], False)))
             await trio.sleep(0.25)
 
 
