--- a/deckcourse/change_feed.py
+++ b/deckcourse/change_feed.py
@@ -82,9 +82,9 @@
       wait: returns how long a request waits for changes, seconds.
       process_factor: returns the number of processes that follow the table, as a multiple of the
         number that the pauses are made for.
-      gathered: returns whether the feed batches changes itself, so that no pause is needed.
-      paced: returns whether the feed itself paces requests to the store; the retry backoff does not
-        grow then. When it grew in addition to the feed's own backoff, the slowest of 30 processes
+      is_batched: returns whether the feed batches changes itself, so that no pause is needed.
+      is_paced: returns whether the feed itself paces requests to the store; the retry backoff does
+        not grow then. When it grew in addition to the feed's own backoff, the slowest of 30 processes
         learned of the store's recovery after 2.3 seconds instead of 0.6.
     """
 
@@ -98,8 +98,8 @@
         on_availability: Callable[[bool], None] = lambda available: None,
         wait: Callable[[], float] = lambda: LONG_POLL_SECONDS,
         process_factor: Callable[[], float] = lambda: 1.0,
-        gathered: Callable[[], bool] = lambda: False,
-        paced: Callable[[], bool] = lambda: False,
+        is_batched: Callable[[], bool] = lambda: False,
+        is_paced: Callable[[], bool] = lambda: False,
     ) -> None:
         self._retry_backoff = RETRY_BACKOFF_SECONDS
         self._feed = feed
@@ -110,8 +110,8 @@
         self._on_availability = on_availability
         self._wait = wait
         self._process_factor = process_factor
-        self._is_batched = gathered
-        self._is_paced = paced
+        self._is_batched = is_batched
+        self._is_paced = is_paced
         self._cancel_scope = trio.CancelScope()
         self._version: int | None = None
         self._as_of = float("-inf")
@@ -123,16 +123,16 @@
         return self._as_of
 
     @property
-    def known(self) -> bool:
+    def is_loaded(self) -> bool:
         """Whether the table has been read at least once."""
         return self._as_of > float("-inf")
 
     @property
-    def lost(self) -> bool:
+    def is_store_unavailable(self) -> bool:
         """Whether the last request had no answer."""
         return self._unavailable
 
-    def ask_anew(self) -> None:
+    def retry_now(self) -> None:
         """Cancel the current request or backoff.
 
         Called when another request has shown that the store became unavailable or recovered.
@@ -145,7 +145,7 @@
             requested_at = trio.current_time()
             as_of = await self._request_once(requested_at)
             if as_of is not None:
-                self._contact(as_of)
+                self._record_answer(as_of)
                 await self._wait_for_batch()
             else:
                 if not self._unavailable:
@@ -175,7 +175,7 @@
         with trio.move_on_after(seconds) as self._cancel_scope:
             await trio.sleep_forever()
 
-    def _contact(self, as_of: float) -> None:
+    def _record_answer(self, as_of: float) -> None:
         self._as_of = max(self._as_of, as_of)
         self._retry_backoff = RETRY_BACKOFF_SECONDS
 
--- a/deckcourse/decision_log.py
+++ b/deckcourse/decision_log.py
@@ -16,7 +16,7 @@
 
 # Rate limit and burst size of the lines of one process.
 MAX_LINES_PER_SECOND = 100.0
-LINES_AT_ONCE = 400.0
+MAX_BURST_LINES = 400.0
 STDOUT_DESCRIPTOR = 1
 # The kind of the summary line, which holds the number of dropped lines of each kind.
 SUMMARY_KIND = "log-bound"
@@ -39,13 +39,13 @@
         self._node = node
         self._descriptor = descriptor
         self._clock = clock
-        self._tokens = LINES_AT_ONCE
+        self._tokens = MAX_BURST_LINES
         self._refilled_at = clock()
         self._left_out: Counter[str] = Counter()
-        self._rest = b""
+        self._unwritten = b""
 
     @property
-    def left_out(self) -> dict[str, int]:
+    def dropped_lines(self) -> dict[str, int]:
         """The number of lines of each kind that were dropped since the last summary line."""
         return dict(self._left_out)
 
@@ -62,7 +62,7 @@
         """Log a decision with the inputs that it was based on."""
         now = self._clock()
         self._tokens = min(
-            LINES_AT_ONCE, self._tokens + (now - self._refilled_at) * MAX_LINES_PER_SECOND
+            MAX_BURST_LINES, self._tokens + (now - self._refilled_at) * MAX_LINES_PER_SECOND
         )
         self._refilled_at = now
         if self._tokens < 1.0 or not self._flush():
@@ -80,14 +80,14 @@
 
     def _write(self, message: dict[str, object]) -> None:
         entry = {name: value for name, value in message.items() if name not in _ELIOT_FIELDS}
-        self._rest += msgspec.json.encode(entry, enc_hook=str) + b"\n"
+        self._unwritten += msgspec.json.encode(entry, enc_hook=str) + b"\n"
         self._flush()
 
     def _flush(self) -> bool:
         """Write the buffered bytes; return whether all of them were written."""
         try:
-            while self._rest:
-                self._rest = self._rest[os.write(self._descriptor, self._rest) :]
+            while self._unwritten:
+                self._unwritten = self._unwritten[os.write(self._descriptor, self._unwritten) :]
         except OSError:
             # The output is full or closed. The rest of a partly written line stays buffered, or the
             # next line would be appended to its first part.
--- a/deckcourse/gateway/node.py
+++ b/deckcourse/gateway/node.py
@@ -159,8 +159,8 @@
             random,
             self._on_list_contact,
             process_factor=self._process_factor,
-            gathered=self._receives_relayed_changes,
-            paced=self._is_paced,
+            is_batched=self._receives_relayed_changes,
+            is_paced=self._is_paced,
         )
         self._plan_feed = Follower(
             self._peers.feed,
@@ -169,8 +169,8 @@
             intake.plan_row,
             random,
             process_factor=self._process_factor,
-            gathered=self._receives_relayed_changes,
-            paced=self._is_paced,
+            is_batched=self._receives_relayed_changes,
+            is_paced=self._is_paced,
         )
         self._crash_feed = Follower(
             self._peers.feed,
@@ -180,8 +180,8 @@
             random,
             self._on_list_contact,
             process_factor=self._process_factor,
-            gathered=self._receives_relayed_changes,
-            paced=self._is_paced,
+            is_batched=self._receives_relayed_changes,
+            is_paced=self._is_paced,
         )
         self._lapse_check = LapseCheck(
             self._upstreams, ports.orderer, lambda: self._peers.feed.follows, log
@@ -229,7 +229,7 @@
     @property
     def ready(self) -> bool:
         """Whether the balancer may send new connections here."""
-        if self._stopping or self._desired is None or not self._upstream_feed.known:
+        if self._stopping or self._desired is None or not self._upstream_feed.is_loaded:
             return False
         return (
             self._configuration_age()
@@ -346,7 +346,7 @@
 
     def _may_heal(self) -> bool:
         # Also during shutdown: no other process may have seen an upstream of this domain fail.
-        return self._upstream_feed.known and self.may_send()
+        return self._upstream_feed.is_loaded and self.may_send()
 
     def _new_crash_watch(self) -> CrashWatch:
         evidence = CrashEvidence(
@@ -429,14 +429,14 @@
     def _on_list_contact(self, recovered: bool) -> None:
         if recovered:
             self._on_store_recovered()
-            if self._operator_feed.lost:
+            if self._operator_feed.is_store_unavailable:
                 # Otherwise its backoff continues, and the configuration stays stale meanwhile.
-                self._operator_feed.ask_anew()
+                self._operator_feed.retry_now()
 
     def _on_contact(self, recovered: bool) -> None:
         if recovered:
             self._on_store_recovered()
-        self._upstream_feed.ask_anew()
+        self._upstream_feed.retry_now()
         self._counters.count("store.regained" if recovered else "store.lost")
         self._log(
             "store-regained" if recovered else "store-lost", age=round(self._configuration_age(), 3)
--- a/deckcourse/host_clock.py
+++ b/deckcourse/host_clock.py
@@ -11,12 +11,12 @@
 import trio
 from trio.abc import Clock
 
-__all__ = ["CLOCK", "HostClock", "run_on_host_clock"]
+__all__ = ["CLOCK_ID", "HostClock", "run_on_host_clock"]
 
 _Result = TypeVar("_Result")
 
 # Systems without CLOCK_BOOTTIME don't report how long they were suspended.
-CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+CLOCK_ID = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 # A suspension lengthens a sleep that is in progress. Sleeps are limited to this, so that deadlines
 # which passed during the suspension are noticed within this time after it.
 MAX_SLEEP_SECONDS = 0.25
@@ -37,7 +37,7 @@
 
     def current_time(self) -> float:
         """Return the current time, seconds."""
-        return self._read(CLOCK)
+        return self._read(CLOCK_ID)
 
     def deadline_to_sleep_time(self, deadline: float) -> float:
         """Return how long to sleep until a deadline, at most `MAX_SLEEP_SECONDS`."""
--- a/deckcourse/http1/memory.py
+++ b/deckcourse/http1/memory.py
@@ -80,7 +80,7 @@
             end.send_stream.close()
             end.receive_stream.close()
 
-    def darken(self, address: str) -> None:
+    def silence(self, address: str) -> None:
         """Make an address silent, on open connections and for new ones."""
         self._silent.add(address)
 
--- a/deckcourse/platform/dialect.py
+++ b/deckcourse/platform/dialect.py
@@ -22,7 +22,7 @@
     REQUEST_ID,
     SEAL,
 )
-from deckcourse.platform.notices import notice_of
+from deckcourse.platform.notices import parse_notice
 from deckcourse.platform.starts import runner_id
 
 __all__ = ["PlatformDialect", "format_path"]
@@ -109,7 +109,7 @@
             header_value(headers, REQUEST_ID).decode("latin-1"),
             reply.status in _NOT_EXECUTED_STATUSES or bool(header_value(headers, NOT_RUN)),
             header_value(headers, AT_FAULT).decode("latin-1"),
-            notice_of(reply),
+            parse_notice(reply),
         )
 
 
--- a/deckcourse/platform/notices.py
+++ b/deckcourse/platform/notices.py
@@ -7,11 +7,11 @@
 from deckcourse.http1.client import UpstreamReply
 from deckcourse.platform.names import LEAVING, MISDIRECTED, RATE_LIMIT, RETRY_AFTER
 
-__all__ = ["LONGEST_BACKOFF_SECONDS", "MAX_RATE", "notice_of"]
+__all__ = ["MAX_BACKOFF_SECONDS", "MAX_RATE", "parse_notice"]
 
 # Longer backoffs are reduced to this. No queue needs more, and an upstream that asked for years by
 # mistake would otherwise serve nobody until its next start.
-LONGEST_BACKOFF_SECONDS = 600.0
+MAX_BACKOFF_SECONDS = 600.0
 # Higher rate limits, in requests per second, are reduced to this: they would not limit anything.
 MAX_RATE = 1e6
 # Statuses of refusals, which may ask for a backoff.
@@ -19,7 +19,7 @@
 _DECIMAL = re.compile(rb"\d{1,300}(\.\d{0,300})?|\.\d{1,300}")
 
 
-def notice_of(reply: UpstreamReply) -> UpstreamNotice:
+def parse_notice(reply: UpstreamReply) -> UpstreamNotice:
     """Return the notice in a reply's headers, `ANONYMOUS` for a 421, which any runner may send."""
     if reply.status == MISDIRECTED:
         return ANONYMOUS
@@ -27,13 +27,13 @@
     backoffs: list[float | None] = []
     if reply.status in _REFUSAL_STATUSES:
         backoffs = [
-            _decimal(value, LONGEST_BACKOFF_SECONDS)
+            _decimal(value, MAX_BACKOFF_SECONDS)
             for name, value in reply.headers
             if name == RETRY_AFTER
         ]
     rates = [_decimal(value, MAX_RATE) for name, value in reply.headers if name == RATE_LIMIT]
     return UpstreamNotice(
-        min(LONGEST_BACKOFF_SECONDS, _max_backoff(backoffs)),
+        min(MAX_BACKOFF_SECONDS, _max_backoff(backoffs)),
         any(leaving_flags),
         None in leaving_flags or None in backoffs or None in rates,
         min((each for each in rates if each is not None), default=None),
--- a/deckcourse/platform/rows.py
+++ b/deckcourse/platform/rows.py
@@ -30,7 +30,7 @@
     problem_with_key,
     problem_with_layers,
 )
-from deckcourse.platform.starts import instance_of
+from deckcourse.platform.starts import instance_name
 
 __all__ = ["PlatformRows"]
 
@@ -236,7 +236,7 @@
         start = None if runner.born is UNSET else runner.born
         return Success(
             Upstream(
-                instance_of(name, start),
+                instance_name(name, start),
                 runner.service,
                 runner.address,
                 runner.zone,
--- a/deckcourse/platform/runners.py
+++ b/deckcourse/platform/runners.py
@@ -37,7 +37,7 @@
     REPORT,
     REQUEST_ID,
 )
-from deckcourse.platform.notices import notice_of
+from deckcourse.platform.notices import parse_notice
 from deckcourse.platform.reports import OrderAnswer, Report, decode_message, held_range
 from deckcourse.platform.starts import runner_id
 
@@ -132,7 +132,7 @@
             now = trio.current_time()
             self._answer_times.record_timeout(upstream.instance, wait.seconds, now)
 
-    def _start_news(self, asked: Upstream, born: int | UnsetType) -> StartNews:
+    def _compare_start(self, asked: Upstream, born: int | UnsetType) -> StartNews:
         """Return which incarnation replied; without a start time it counts as the queried one."""
         return StartNews.SAME if born is UNSET else self._judge_start(asked, born)
 
@@ -226,7 +226,7 @@
                 if report is None or status == MISDIRECTED:
                     has_replied = True
                     continue
-                incarnation = self._start_news(upstream, report.born)
+                incarnation = self._compare_start(upstream, report.born)
                 if incarnation is StartNews.NEWER:
                     return PulseReading(Pulse.DEAD)
                 return PulseReading(
@@ -278,7 +278,7 @@
         order_answer = decode_message(answer[1], OrderAnswer)
         if (
             order_answer is not None
-            and self._start_news(upstream, order_answer.born) is not StartNews.SAME
+            and self._compare_start(upstream, order_answer.born) is not StartNews.SAME
         ):
             return None
         return answer
@@ -343,7 +343,7 @@
         if answer is None or answer[0] != 200:
             return None
         report = decode_message(answer[1], Report)
-        if report is None or self._start_news(upstream, report.born) is not StartNews.SAME:
+        if report is None or self._compare_start(upstream, report.born) is not StartNews.SAME:
             return None
         return report
 
@@ -391,7 +391,7 @@
             content = await reply.read_body()
             answered_at = trio.current_time()
             self._answer_times.record(upstream.instance, answered_at - sent_at, answered_at)
-        self._apply_notice(upstream, notice_of(reply), content, sent_at)
+        self._apply_notice(upstream, parse_notice(reply), content, sent_at)
         return reply.status, content
 
     def _apply_notice(
@@ -402,7 +402,7 @@
             return
         order_answer = decode_message(content, OrderAnswer)
         born = order_answer.born if order_answer is not None else UNSET
-        if self._start_news(asked, born) is StartNews.SAME:
+        if self._compare_start(asked, born) is StartNews.SAME:
             self._on_notice(asked.instance, notice, sent_at, True)
 
 
--- a/features/foreign_rows.py
+++ b/features/foreign_rows.py
@@ -18,8 +18,8 @@
 from deckcourse.table import MemoryTable, Row
 
 # Nesting deeper than any decoder supports.
-DEEP = 100_000
-NESTED = b"[" * DEEP + b"]" * DEEP
+NESTING_DEPTH = 100_000
+NESTED = b"[" * NESTING_DEPTH + b"]" * NESTING_DEPTH
 # A service of the first desired state, and one that is added later.
 NAMED, UNNAMED = "crm", "later"
 CONFIG = {"version": 1, "services": [{"name": NAMED}]}
--- a/features/mutants_crashes.py
+++ b/features/mutants_crashes.py
@@ -73,7 +73,7 @@
 
 
 def the_clock_stands_in_a_suspension():
-    host_clock.CLOCK = time.CLOCK_MONOTONIC
+    host_clock.CLOCK_ID = time.CLOCK_MONOTONIC
 
 
 CRASHES = ("crashing_requests",)
--- a/features/mutants_gateway.py
+++ b/features/mutants_gateway.py
@@ -301,8 +301,8 @@
 
 
 def store_is_never_lost():
-    original = Follower._contact
-    Follower._contact = lambda self, as_of: original(self, as_of + 1000.0)
+    original = Follower._record_answer
+    Follower._record_answer = lambda self, as_of: original(self, as_of + 1000.0)
 
 
 def paths_share_hosts():
@@ -331,7 +331,7 @@
 
 
 def starts_are_one():
-    rows_module.instance_of = lambda runner, start: runner
+    rows_module.instance_name = lambda runner, start: runner
 
 
 def older_starts_come_back():
@@ -339,7 +339,7 @@
 
 
 def any_start_answers():
-    RunnerControl._start_news = lambda self, asked, born: StartNews.SAME
+    RunnerControl._compare_start = lambda self, asked, born: StartNews.SAME
 
 
 def ended_starts_keep_streams():
@@ -350,7 +350,7 @@
     original = GatewayNode._note_ended
 
     def note_ended(self, older):
-        with patch.object(ConnectionPool, "forget"):
+        with patch.object(ConnectionPool, "close_idle"):
             original(self, older)
 
     GatewayNode._note_ended = note_ended
--- a/features/mutants_requests.py
+++ b/features/mutants_requests.py
@@ -236,7 +236,7 @@
 
     def dropped(self, message):
         write(self, message)
-        self._rest = b""
+        self._unwritten = b""
 
     DecisionLog._write = dropped
 
--- a/features/peer_world.py
+++ b/features/peer_world.py
@@ -73,8 +73,8 @@
                 self.peers.feed, table, self.on_all_rows, self.on_change, random,
                 wait=lambda: CONTACT_WAIT_SECONDS,
                 process_factor=lambda: max(1.0, len(world.processes) / SMALL_SITE_PROCESSES),
-                gathered=lambda: not self.peers.feed.follows,
-                paced=lambda: self.peers.feed.paces_reads,
+                is_batched=lambda: not self.peers.feed.follows,
+                is_paced=lambda: self.peers.feed.paces_reads,
             )
             for table in TABLES
         ]  # fmt: skip
@@ -114,7 +114,7 @@
     def become_silent(self):
         self.alive = False
         self.scope.cancel()
-        self.world.network.darken(self.address)
+        self.world.network.silence(self.address)
         self.world.medium.open(self.address)
 
     def live_names(self):
--- a/features/steps/busy_upstream_steps.py
+++ b/features/steps/busy_upstream_steps.py
@@ -30,7 +30,7 @@
 
 async def drop_traffic(site):
     site.runners["x2"].dead = True
-    site.network.darken(site.runners["x2"].address)
+    site.network.silence(site.runners["x2"].address)
 
 
 async def crash(site):
--- a/features/steps/foreign_frame_steps.py
+++ b/features/steps/foreign_frame_steps.py
@@ -19,7 +19,7 @@
 import trio
 from behave import then, when
 from connection_world import reproducible, virtually
-from foreign_rows import DEEP
+from foreign_rows import NESTING_DEPTH
 from hypothesis import given as hypothesis_given
 from hypothesis import strategies
 from peer_world import SETTLE_SECONDS
@@ -59,7 +59,7 @@
 VALID_UPDATE = TableUpdate("servers", None, 5, (("a", b"row a", 4), ("b", b"row b", 5)))
 VALID_FRAME = Frame((VALID_UPDATE,), {"servers": (5, 0.5)}, None, (LoadRow("a", 1, 2, 0.5, 0.2),))
 # Encoded by hand: five fields, then a sixth that frames do not have.
-NESTED_TAIL = b"\x96\x90\x80\xc0\x90\xc2" + b"\x91" * DEEP + b"\xc0"
+NESTED_TAIL = b"\x96\x90\x80\xc0\x90\xc2" + b"\x91" * NESTING_DEPTH + b"\xc0"
 
 
 def framed(body, kind=b"\x00"):
@@ -93,7 +93,7 @@
     "a frame of 4 GiB": b"\xff\xff\xff\xff\x00",
     "a frame of an unknown kind": framed(encode_frame(VALID_FRAME)[5:], b"\x02"),
     "bytes that aren't packed": framed(b"\xc1\xc1\xc1"),
-    "nested lists": framed(b"\x91" * DEEP),
+    "nested lists": framed(b"\x91" * NESTING_DEPTH),
     "nested lists behind a good frame": framed(NESTED_TAIL),
     "a text that is no text": framed(b"\x92\x91\x93\xa1\xff\xc0\x05\x80"),
     "a version that is a text": packed([["servers", None, "5", []]], {}),
@@ -155,7 +155,7 @@
 @then("a question with nested lists behind its last field is none")
 def request_is_rejected(context):
     assert decode_request(b"\x92\xa1a\x80") == ChangesRequest("a", {})
-    assert decode_request(b"\x93\xa1a\x80" + b"\x91" * DEEP + b"\xc0") is None
+    assert decode_request(b"\x93\xa1a\x80" + b"\x91" * NESTING_DEPTH + b"\xc0") is None
 
 
 @then("what a process tells of loads and moments that it holds is always a frame")
@@ -240,7 +240,9 @@
 
 def report_with(what):
     if what == "with nested lists beside":
-        return VALID_REPORT[:-1] + b', "note": ' + b"[" * DEEP + b"]" * DEEP + b"}"
+        return (
+            VALID_REPORT[:-1] + b', "note": ' + b"[" * NESTING_DEPTH + b"]" * NESTING_DEPTH + b"}"
+        )
     field, _, value = what.removeprefix("with ").partition(" = ")
     # The last field of a name takes effect.
     return VALID_REPORT[:-1] + f', "{field}": {value}}}'.encode()
@@ -298,7 +300,11 @@
 MALFORMED_PLANS = {
     "nothing": b"",
     "bytes that are no text": b"\xff\x00",
-    "nested lists": plan_of()[:-1] + b', "note": ' + b"[" * DEEP + b"]" * DEEP + b"}",
+    "nested lists": plan_of()[:-1]
+    + b', "note": '
+    + b"[" * NESTING_DEPTH
+    + b"]" * NESTING_DEPTH
+    + b"}",
     "a number that is a text": plan_of(number="4"),
     "a number that is negative": plan_of(number=-4),
     "a number without bound": plan_of()[:-1] + b', "number": ' + b"9" * 40 + b"}",
--- a/features/steps/gateway_fault_steps.py
+++ b/features/steps/gateway_fault_steps.py
@@ -14,7 +14,7 @@
             runner.die()
         else:
             runner.dead = True
-            site.network.darken(runner.address)
+            site.network.silence(runner.address)
 
     ask_while(context, count, fail)
 
@@ -27,7 +27,7 @@
         await trio.sleep(2 * EVENT_SECONDS)
         if fault == "goes dark":
             runner.dead = True
-            site.network.darken(runner.address)
+            site.network.silence(runner.address)
         else:
             site.paused_until = trio.current_time() + float(fault.split()[2])
 
--- a/features/steps/http1_steps.py
+++ b/features/steps/http1_steps.py
@@ -8,7 +8,7 @@
 from connection_world import BOUNDS, read_until_end, virtually
 from returns.result import Failure, Success
 
-from deckcourse.decision_log import LINES_AT_ONCE, DecisionLog
+from deckcourse.decision_log import MAX_BURST_LINES, DecisionLog
 from deckcourse.gateway.desired import CallerBounds
 from deckcourse.http1.client import ConnectionPool, UpstreamConnection
 from deckcourse.http1.memory import MemoryNetwork
@@ -157,9 +157,9 @@
         for number in range(count):
             log.log("decided", request=str(number))
         lines = read_lines(reader)
-        assert most == LINES_AT_ONCE and len(lines) <= most, len(lines)
+        assert most == MAX_BURST_LINES and len(lines) <= most, len(lines)
         left_out = count - len(lines)
-        assert log.left_out == {"decided": left_out}
+        assert log.dropped_lines == {"decided": left_out}
         now[0] = 1.0
         log.log("later")
         summary, later = read_lines(reader)
@@ -191,7 +191,7 @@
         for _ in range(400):
             now[0] += 1.0
             log.log("decided", text="x" * 1000)
-        assert log.left_out["decided"] > 100
+        assert log.dropped_lines["decided"] > 100
         first = len(read_lines_partly(reader))
         log.log("later")
         assert first > 10
--- a/features/steps/notice_steps.py
+++ b/features/steps/notice_steps.py
@@ -24,7 +24,7 @@
 from deckcourse.http1.client import UpstreamReply
 from deckcourse.layers.hosts import Assignment
 from deckcourse.platform.names import LEAVING, RETRY_AFTER
-from deckcourse.platform.notices import LONGEST_BACKOFF_SECONDS, notice_of
+from deckcourse.platform.notices import MAX_BACKOFF_SECONDS, parse_notice
 
 MANY_DIGITS = "9" * 401
 # Header values that are too long for the table, by the text that stands for them.
@@ -367,8 +367,8 @@
     @settings(max_examples=500, derandomize=True, deadline=None, database=None)
     @hypothesis_given(HEADERS, strategies.sampled_from([200, 421, 429, 500, 503]))
     def read(headers, status):
-        notice = notice_of(UpstreamReply(status, tuple(headers), None))
-        assert 0.0 <= notice.backoff <= LONGEST_BACKOFF_SECONDS
+        notice = parse_notice(UpstreamReply(status, tuple(headers), None))
+        assert 0.0 <= notice.backoff <= MAX_BACKOFF_SECONDS
         assert not notice.backoff or status in (429, 503)
         assert not notice.leaving or (LEAVING, b"1") in [(n, v.strip()) for n, v in headers]
 
--- a/features/steps/rate_sharing_steps.py
+++ b/features/steps/rate_sharing_steps.py
@@ -16,7 +16,7 @@
 from deckcourse.peers.rate_limit import RateLimit
 from deckcourse.peers.token_messages import TOKEN_PREFIX, TokenRequest, encode_message
 from deckcourse.platform.names import RATE_LIMIT
-from deckcourse.platform.notices import notice_of
+from deckcourse.platform.notices import parse_notice
 from deckcourse.table import TableFailure
 
 WINDOW_SECONDS = 4.0
@@ -240,7 +240,7 @@
     status = 421 if text.endswith("in a 421") else 200
     values = [each.encode() for each in text.removesuffix(" in a 421").split(" / ")]
     values = [b""] if text == "empty" else values
-    notice = notice_of(UpstreamReply(status, tuple((RATE_LIMIT, each) for each in values), None))
+    notice = parse_notice(UpstreamReply(status, tuple((RATE_LIMIT, each) for each in values), None))
     assert notice.rate_limit == (None if rate == "nothing" else float(rate)), notice
     assert notice.malformed == (malformed == "with"), notice
 
--- a/features/steps/stream_event_steps.py
+++ b/features/steps/stream_event_steps.py
@@ -385,7 +385,7 @@
 def check_plain(data):
     """Check a body without a length for another answer."""
     with suppress(ConnectionLostError):
-        refuse_joined(UpstreamReply(200, (), SimpleNamespace(followed=False)), data)
+        refuse_joined(UpstreamReply(200, (), SimpleNamespace(has_trailing_bytes=False)), data)
 
 
 # Each of these once blocked the process for seconds: the first for 6.3 s, doubling with each
--- a/features/steps/suspended_steps.py
+++ b/features/steps/suspended_steps.py
@@ -36,7 +36,7 @@
         clock = importlib.import_module("deckcourse.host_clock")
     except ModuleNotFoundError:
         return False
-    return clock.CLOCK == time.CLOCK_BOOTTIME
+    return clock.CLOCK_ID == time.CLOCK_BOOTTIME
 
 
 def suspend(clock, seconds=SUSPENDED_SECONDS):
