--- a/deckcourse/change_feed.py
+++ b/deckcourse/change_feed.py
@@ -84,8 +84,8 @@
         number that the pauses are made for.
       is_batched: returns whether the feed batches changes itself, so that no pause is needed.
       is_paced: returns whether the feed itself paces requests to the store; the retry backoff does
-        not grow then. When it grew in addition to the feed's own backoff, the slowest of 30 processes
-        learned of the store's recovery after 2.3 seconds instead of 0.6.
+        not grow then. When it grew in addition to the feed's own backoff, the slowest of 30
+        processes learned of the store's recovery after 2.3 seconds instead of 0.6.
     """
 
     def __init__(
