--- a/deckcourse/gateway/node.py
+++ b/deckcourse/gateway/node.py
@@ -34,7 +34,7 @@
 from deckcourse.layers.hosts import Group
 from deckcourse.layers.model import ModelSpec
 from deckcourse.layers.plan_book import PLAN_TABLE, PlanBook, PlanRecord
-from deckcourse.peers.followers import turn_of
+from deckcourse.peers.followers import rank_of
 from deckcourse.peers.peers import Peers
 from deckcourse.peers.rate_limit import RateLimit
 from deckcourse.settings import GatewaySettings
@@ -159,8 +159,8 @@
             random,
             self._on_list_contact,
             process_factor=self._process_factor,
-            gathered=self._receives_relayed_changes,
-            paced=self._is_paced,
+            is_batched=self._receives_relayed_changes,
+            is_paced=self._is_paced,
         )
         self._plan_feed = Follower(
             self._peers.feed,
@@ -169,8 +169,8 @@
             intake.plan_row,
             random,
             process_factor=self._process_factor,
-            gathered=self._receives_relayed_changes,
-            paced=self._is_paced,
+            is_batched=self._receives_relayed_changes,
+            is_paced=self._is_paced,
         )
         self._crash_feed = Follower(
             self._peers.feed,
@@ -180,8 +180,8 @@
             random,
             self._on_list_contact,
             process_factor=self._process_factor,
-            gathered=self._receives_relayed_changes,
-            paced=self._is_paced,
+            is_batched=self._receives_relayed_changes,
+            is_paced=self._is_paced,
         )
         self._lapse_check = LapseCheck(
             self._upstreams, ports.orderer, lambda: self._peers.feed.follows, log
@@ -229,7 +229,7 @@
     @property
     def ready(self) -> bool:
         """Whether the balancer may send new connections here."""
-        if self._stopping or self._desired is None or not self._upstream_feed.known:
+        if self._stopping or self._desired is None or not self._upstream_feed.is_loaded:
             return False
         return (
             self._configuration_age()
@@ -249,10 +249,10 @@
             return
         if request.method == b"DELETE":
             was_suspect = self._crash_watch.release(identity.decode("latin-1"))
-            await exchange.whole(200 if was_suspect else 404, (), b"")
+            await exchange.respond(200 if was_suspect else 404, (), b"")
             return
         kind = (b"content-type", b"application/json")
-        await exchange.whole(200, (kind,), encode_quarantine(self._crash_watch.view()))
+        await exchange.respond(200, (kind,), encode_quarantine(self._crash_watch.view()))
 
     def stop(self) -> None:
         """Report the process as stopping and not ready; running requests continue."""
@@ -326,7 +326,7 @@
 
     def _is_paced(self) -> bool:
         """Return whether the shared feed decides how often the store is polled."""
-        return self._peers.feed.paces
+        return self._peers.feed.paces_reads
 
     def _process_factor(self) -> float:
         """Return the number of processes relative to that of a small site."""
@@ -338,7 +338,7 @@
         """Return how many processes precede this one in planning for a group."""
         domains = {each.domain for each in group.hosts}
         roster = self._peers.roster
-        return turn_of(roster.own, roster.live(), domains, group.name)
+        return rank_of(roster.own, roster.live(), domains, group.name)
 
     def _model_of(self, service: str) -> ModelSpec | None:
         spec = self._desired.services.get(service) if self._desired is not None else None
@@ -346,7 +346,7 @@
 
     def _may_heal(self) -> bool:
         # Also during shutdown: no other process may have seen an upstream of this domain fail.
-        return self._upstream_feed.known and self.may_send()
+        return self._upstream_feed.is_loaded and self.may_send()
 
     def _new_crash_watch(self) -> CrashWatch:
         evidence = CrashEvidence(
@@ -392,14 +392,14 @@
 
     def _report_lost_upstream(self, domain: str) -> None:
         for healer in self._healers.values():
-            healer.witness(domain)
+            healer.record_failure(domain)
 
     def _on_incarnation_ended(self, older: Upstream) -> None:
         """Drop the state of a superseded incarnation after its upstream restarted."""
         self._rate_limits.forget(older.instance)
         self._counters.count("upstream.restarted")
         self._log("upstream-restarted", instance=older.instance, address=older.address)
-        self._ports.pool.forget(older.address)
+        self._ports.pool.close_idle(older.address)
         self._monitor.note_ended(older)
         self._crash_watch.note_ended(older.instance)
 
@@ -429,14 +429,14 @@
     def _on_list_contact(self, recovered: bool) -> None:
         if recovered:
             self._on_store_recovered()
-            if self._operator_feed.lost:
+            if self._operator_feed.is_store_unavailable:
                 # Otherwise its backoff continues, and the configuration stays stale meanwhile.
-                self._operator_feed.ask_anew()
+                self._operator_feed.retry_now()
 
     def _on_contact(self, recovered: bool) -> None:
         if recovered:
             self._on_store_recovered()
-        self._upstream_feed.ask_anew()
+        self._upstream_feed.retry_now()
         self._counters.count("store.regained" if recovered else "store.lost")
         self._log(
             "store-regained" if recovered else "store-lost", age=round(self._configuration_age(), 3)
@@ -455,4 +455,4 @@
         for service, healer in self._healers.items():
             model = self._model_of(service)
             if model is not None and model.name == record.model:
-                healer.hear(group, model, record)
+                healer.on_plan(group, model, record)
--- a/deckcourse/gateway/path_choice.py
+++ b/deckcourse/gateway/path_choice.py
@@ -6,8 +6,12 @@
 from random import Random
 
 from deckcourse.decisions.path_draw import draw_path
-from deckcourse.decisions.path_load import begun_at, passers, passing
-from deckcourse.decisions.usual_paths import usual_paths
+from deckcourse.decisions.path_load import (
+    passing_first_stages,
+    streams_by_upstream,
+    streams_started_at,
+)
+from deckcourse.decisions.usual_paths import preferred_paths
 from deckcourse.gateway.dialect import StreamControl
 from deckcourse.gateway.load_watch import LoadWatch
 from deckcourse.gateway.traffic_share import TrafficShare
@@ -15,7 +19,7 @@
 from deckcourse.gateway.upstreams import UpstreamTable
 from deckcourse.layers.model import ModelSpec
 from deckcourse.layers.path_set import PathSet
-from deckcourse.layers.paths import LayerPath, PathPart
+from deckcourse.layers.paths import LayerPath, PathStage
 from deckcourse.peers.loads import LoadBoard
 
 __all__ = ["PathChoice"]
@@ -152,7 +156,7 @@
         The first stage has slots for requests that begin there, and every stage has memory for the
         requests that pass it.
         """
-        first = self._upstreams.get(path.parts[0].instance)
+        first = self._upstreams.get(path.stages[0].instance)
         if first is None:
             return 0.0
         counts = self._stream_counts("" if path.crossings else path.domain)
@@ -178,7 +182,7 @@
             self._cached_capacities.clear()
         cached = self._cached_capacities.get(id(path))
         if cached is None:
-            capacities = [(each.instance, self._capacity(each)) for each in path.parts]
+            capacities = [(each.instance, self._capacity(each)) for each in path.stages]
             # Keeps a reference to the path, so that its id isn't reused.
             cached = self._cached_capacities[id(path)] = path, capacities
         return cached[1]
@@ -195,14 +199,16 @@
             paths: list[LayerPath] = []
             if self._cached_path_set is not None:
                 paths = (
-                    self._cached_path_set[1].inside(domain)
+                    self._cached_path_set[1].paths_inside(domain)
                     if domain
-                    else self._cached_path_set[1].starts()
+                    else self._cached_path_set[1].all_paths()
                 )
-            begun = begun_at(paths, self._watch.running, self._find_passers(domain, paths))
+            begun = streams_started_at(
+                paths, self._watch.running, self._find_passers(domain, paths)
+            )
             beginning_at = {name: each + self._watch.waiting(name) for name, each in begun.items()}
             cached = self._cached_stream_counts[domain] = now, _StreamCounts(
-                beginning_at, passing(paths, beginning_at)
+                beginning_at, streams_by_upstream(paths, beginning_at)
             )
         return cached[1]
 
@@ -210,7 +216,7 @@
         """Return the upstreams whose paths pass each first upstream, cached for a list of paths."""
         cached = self._cached_passers.get(domain)
         if cached is None or cached[0] is not paths:
-            cached = self._cached_passers[domain] = paths, passers(paths)
+            cached = self._cached_passers[domain] = paths, passing_first_stages(paths)
         return cached[1]
 
     def _total_requests(self) -> float:
@@ -223,13 +229,15 @@
         scale = sum(beginning_at.values()) / domain_total if domain_total else 1.0
         return scale * sum(self._watch.reported(each.instance) for each in self._firsts())
 
-    def _capacity(self, stage: PathPart) -> float:
+    def _capacity(self, stage: PathStage) -> float:
         """Return how many typical requests fit into a stage's memory beside the model weights."""
         row = self._upstreams.get(stage.instance)
         if row is None or self._cached_path_set is None:
             return 1.0
         model = self._cached_path_set[1].model
-        return max(1.0, model.places(row.kind, row.end - row.first, stage.end - stage.first))
+        return max(
+            1.0, model.request_capacity(row.kind, row.end - row.first, stage.end - stage.first)
+        )
 
     def note_full(self, instance: str) -> None:
         """Record that an upstream has no room at the moment."""
@@ -281,7 +289,7 @@
             [
                 each
                 for each in self._paths(model, avoid)
-                if each.parts[0].instance not in backing_off
+                if each.stages[0].instance not in backing_off
             ]
         )
 
@@ -300,26 +308,26 @@
         paths = [
             each
             for each in self._paths(model, avoid | self._refusing()) or self._paths(model, avoid)
-            if each.parts[0].instance not in backing_off
+            if each.stages[0].instance not in backing_off
         ]
         beginning_at = self._stream_counts().beginning_at
         return min(
-            paths, key=lambda each: beginning_at.get(each.parts[0].instance, 0.0), default=None
+            paths, key=lambda each: beginning_at.get(each.stages[0].instance, 0.0), default=None
         )
 
     def _preferred_with_room(self, model: ModelSpec, avoid: frozenset[str]) -> list[LayerPath]:
         """Return the preferred paths inside this process's domain that have room."""
-        inside = self._path_set(model).inside(self._domain)
+        inside = self._path_set(model).paths_inside(self._domain)
         if self._preferred[0] is not inside:
-            self._preferred = inside, usual_paths(inside, self._process, len(inside))
+            self._preferred = inside, preferred_paths(inside, self._process, len(inside))
         avoiding = (each for each in self._preferred[1] if not each.instances & avoid)
         with_room = (each for each in avoiding if self._utilization(each) < 1.0)
         return list(islice(with_room, MAX_PREFERRED_PATHS))
 
     def _paths(self, model: ModelSpec, avoid: frozenset[str]) -> list[LayerPath]:
         paths = self._path_set(model)
-        avoiding = [each for each in paths.starts() if not each.instances & avoid]
-        return avoiding or paths.starts(avoid)
+        avoiding = [each for each in paths.all_paths() if not each.instances & avoid]
+        return avoiding or paths.all_paths(avoid)
 
     def _path_set(self, model: ModelSpec) -> PathSet:
         key = (self._upstreams.change_count, model)
@@ -328,7 +336,7 @@
             hosts = self._upstreams.layer_hosts(self._service)
             listed = [each for each in hosts if not each.lapsing]
             paths = PathSet(model, listed, before)
-            if len(listed) < len(hosts) and not paths.starts():
+            if len(listed) < len(hosts) and not paths.all_paths():
                 paths = PathSet(model, hosts, before)
             self._cached_path_set = (key, paths)
         return self._cached_path_set[1]
@@ -338,7 +346,7 @@
 
         None if one accepts them now, or if no path holds every layer.
         """
-        firsts = [each.parts[0].instance for each in self._path_set(model).starts()]
+        firsts = [each.stages[0].instance for each in self._path_set(model).all_paths()]
         return self._upstreams.first_accepts_at(firsts)
 
     def _draw(self, paths: list[LayerPath]) -> LayerPath | None:
@@ -348,7 +356,7 @@
         return [each for each in paths if not self.is_overloaded(each)]
 
     def _score(self, path: LayerPath) -> float:
-        first = path.parts[0].instance
+        first = path.stages[0].instance
         utilization = self._utilization(path)
         load = (
             1.0 + BUSY_WEIGHT * min(utilization, 1.0) + QUEUE_WEIGHT * max(0.0, utilization - 1.0)
@@ -357,7 +365,7 @@
         remote = 1.0 if path.domain == self._domain else REMOTE_WEIGHT
         return path.cost * load * failures * remote
 
-    def onward(self, model: ModelSpec, first: PathPart, avoid: frozenset[str]) -> LayerPath | None:
+    def onward(self, model: ModelSpec, first: PathStage, avoid: frozenset[str]) -> LayerPath | None:
         """Return another path for a running request; its first stage can't change.
 
         Args:
@@ -371,4 +379,4 @@
         row = self._upstreams.last_known(first.instance)
         if row is None:
             return None
-        return self._path_set(model).onward(first, row.domain, avoid)
+        return self._path_set(model).path_after(first, row.domain, avoid)
--- a/deckcourse/layers/plan_book.py
+++ b/deckcourse/layers/plan_book.py
@@ -76,7 +76,7 @@
         """The name under which this process writes plans."""
         return self._author
 
-    def known(self, group: str) -> PlanRecord | None:
+    def last_plan(self, group: str) -> PlanRecord | None:
         """Return the last plan of a group that this process read or wrote."""
         return self._plans.get(group)
 
@@ -84,7 +84,7 @@
         self._rows[group] = row
         self._plans[group] = plan
 
-    def note(self, row: Row) -> PlanRecord | None:
+    def merge(self, row: Row) -> PlanRecord | None:
         """Merge a group's row that was read elsewhere.
 
         Returns:
@@ -98,19 +98,19 @@
         self._store(group, row, record)
         return None if record is None or record.author == self._author else record
 
-    async def look(self, group: str) -> PlanRecord | None:
+    async def refresh(self, group: str) -> PlanRecord | None:
         """Read the plan of a group from the table, or return the last one if there is no answer."""
         match await self._table.read([KEY_PREFIX + group]):
             case Success((row,)):
                 self._store(group, row, None if row is None else _decode(row))
-        return self.known(group)
+        return self.last_plan(group)
 
     async def claim(
         self, group: str, model: str, assignments: tuple[Assignment, ...]
     ) -> PlanWon | ClaimLost | ClaimUnanswered:
         """Write the next plan of a group unless another process wrote one since the last read."""
         row = self._rows.get(group)
-        last_plan = self.known(group)
+        last_plan = self.last_plan(group)
         number = 1 if last_plan is None else last_plan.number + 1
         record = PlanRecord(number, self._author, model, assignments)
         value = msgspec.json.encode(record)
@@ -120,9 +120,9 @@
                 self._store(group, Row(KEY_PREFIX + group, version, value), record)
                 return PlanWon(record)
             case Success(_):
-                return ClaimLost(await self.look(group))
+                return ClaimLost(await self.refresh(group))
         # The write may have succeeded: the next claim must be based on the current row.
-        await self.look(group)
+        await self.refresh(group)
         return ClaimUnanswered()
 
 
--- a/deckcourse/peers/peers.py
+++ b/deckcourse/peers/peers.py
@@ -91,7 +91,7 @@
         """Serve a subscriber, or an operator that requests the membership view."""
         if request.target == MEMBERS_PATH:
             content_type = (b"content-type", b"application/json")
-            await exchange.whole(
+            await exchange.respond(
                 200, (content_type,), encode_view(view_of(self._roster, self._feed))
             )
             return
@@ -99,5 +99,5 @@
 
     async def leave(self) -> None:
         """Announce that this process is leaving, and end the responses to subscribers."""
-        await self._gossip.tell_leaving()
+        await self._gossip.announce_leaving()
         self._feed.server.stop()
--- a/deckcourse/platform/runners.py
+++ b/deckcourse/platform/runners.py
@@ -19,8 +19,8 @@
 from deckcourse.gateway.upstream import StartOrder, Upstream
 from deckcourse.gateway.upstream_notice import UpstreamNotice
 from deckcourse.http1.client import (
-    NAMELESS,
-    REMEMBERED_CALLS,
+    MAX_REMEMBERED_CALLS,
+    UNNAMED_CALL,
     ConnectionPool,
     UpstreamReply,
 )
@@ -37,7 +37,7 @@
     REPORT,
     REQUEST_ID,
 )
-from deckcourse.platform.notices import notice_of
+from deckcourse.platform.notices import parse_notice
 from deckcourse.platform.reports import OrderAnswer, Report, decode_message, held_range
 from deckcourse.platform.starts import runner_id
 
@@ -133,7 +133,7 @@
             now = trio.current_time()
             self._answer_times.record_timeout(upstream.instance, wait.seconds, now)
 
-    def _start_news(self, asked: Upstream, born: int | UnsetType) -> StartOrder:
+    def _compare_start(self, asked: Upstream, born: int | UnsetType) -> StartOrder:
         """Return which incarnation replied; without a start time it counts as the queried one."""
         return StartOrder.SAME if born is UNSET else self._judge_start(asked, born)
 
@@ -149,7 +149,7 @@
         answer = await self._order(upstream, body, ORDER_TIMEOUT_SECONDS, Purpose.ORDER)
         if answer is None:
             return OrderResult.UNANSWERED
-        results = {200: OrderResult.HELD, 202: OrderResult.TAKEN, 409: OrderResult.CONFLICT}
+        results = {200: OrderResult.HELD, 202: OrderResult.ACCEPTED, 409: OrderResult.CONFLICT}
         return results.get(answer[0], OrderResult.REFUSED)
 
     async def order_count(self, upstream: Upstream) -> int | None:
@@ -183,7 +183,7 @@
 
     async def probe(self, upstream: Upstream, seconds: float) -> ProbeReply:
         """Probe a runner with a query; DEAD if its machine refuses connections."""
-        if not await self._admit(upstream.instance, Purpose.QUESTION):
+        if not await self._admit(upstream.instance, Purpose.QUERY):
             return ProbeReply(ProbeResult.NOT_SENT)
         seconds = self._timeout(seconds)
         wait = _TimedWait(seconds)
@@ -191,7 +191,7 @@
         if reading.result is ProbeResult.SILENT:
             self._record_timeout(upstream, wait)
         if reading.result is ProbeResult.SILENT and wait.process_was_paused:
-            if not await self._admit(upstream.instance, Purpose.QUESTION):
+            if not await self._admit(upstream.instance, Purpose.QUERY):
                 return ProbeReply(ProbeResult.NOT_SENT)
             return await self._probe_once(upstream, seconds)
         return reading
@@ -215,7 +215,7 @@
         with trio.move_on_after(seconds):
             # An idle connection may have been closed by the runner, so a failure is retried once.
             for attempt in range(2):
-                if attempt and not await self._admit(upstream.instance, Purpose.QUESTION):
+                if attempt and not await self._admit(upstream.instance, Purpose.QUERY):
                     return ProbeReply(ProbeResult.ALIVE if has_replied else ProbeResult.NOT_SENT)
                 try:
                     status, content = await self._exchange(upstream, b"GET", REPORT)
@@ -227,7 +227,7 @@
                 if report is None or status == MISDIRECTED:
                     has_replied = True
                     continue
-                incarnation = self._start_news(upstream, report.born)
+                incarnation = self._compare_start(upstream, report.born)
                 if incarnation is StartOrder.NEWER:
                     return ProbeReply(ProbeResult.DEAD)
                 return ProbeReply(
@@ -260,7 +260,7 @@
         upstream: Upstream,
         value: object,
         seconds: float,
-        purpose: Purpose = Purpose.QUESTION,
+        purpose: Purpose = Purpose.QUERY,
     ) -> tuple[int, bytes] | None:
         """Send an order on a connection where no duplicate reply can be taken for its reply.
 
@@ -279,7 +279,7 @@
         order_answer = decode_message(answer[1], OrderAnswer)
         if (
             order_answer is not None
-            and self._start_news(upstream, order_answer.born) is not StartOrder.SAME
+            and self._compare_start(upstream, order_answer.born) is not StartOrder.SAME
         ):
             return None
         return answer
@@ -317,7 +317,7 @@
             await trio.sleep(TOKEN_RETRY_INTERVAL_SECONDS)
 
     async def _report_if_admitted(
-        self, upstream: Upstream, purpose: Purpose = Purpose.QUESTION
+        self, upstream: Upstream, purpose: Purpose = Purpose.QUERY
     ) -> Report | None:
         """Return a runner's report, None without a reply or without a token."""
         try:
@@ -325,9 +325,7 @@
         except _NotAdmittedError:
             return None
 
-    async def _report(
-        self, upstream: Upstream, purpose: Purpose = Purpose.QUESTION
-    ) -> Report | None:
+    async def _report(self, upstream: Upstream, purpose: Purpose = Purpose.QUERY) -> Report | None:
         """Return a runner's report, None if none came in time or another incarnation replied.
 
         If this process was paused at the timeout, the reply may have come unread, and the query is
@@ -346,7 +344,7 @@
         if answer is None or answer[0] != 200:
             return None
         report = decode_message(answer[1], Report)
-        if report is None or self._start_news(upstream, report.born) is not StartOrder.SAME:
+        if report is None or self._compare_start(upstream, report.born) is not StartOrder.SAME:
             return None
         return report
 
@@ -373,28 +371,28 @@
         if body:
             headers.append((b"content-type", b"application/json"))
             headers.append((b"content-length", str(len(body)).encode()))
-        async with self._pool.lent(upstream.address, unlike=call_name) as connection:
+        async with self._pool.borrow(upstream.address, without_call=call_name) as connection:
             sent_at = trio.current_time()
             reply = await connection.call(method, target, tuple(headers), body)
             reply_id = _id(reply)
-            for _ in range(REMEMBERED_CALLS):
-                if reply_id in (call_id, NAMELESS) or not connection.had_call(reply_id):
+            for _ in range(MAX_REMEMBERED_CALLS):
+                if reply_id in (call_id, UNNAMED_CALL) or not connection.has_recent_call(reply_id):
                     break
                 reply = await connection.next_reply()
                 reply_id = _id(reply)
-            if reply_id not in (call_id, NAMELESS):
+            if reply_id not in (call_id, UNNAMED_CALL):
                 raise ConnectionLostError(
                     FailureKind.MALFORMED, "the reply belongs to another call"
                 )
-            connection.note_call(reply_id)
-            if reply_id == NAMELESS and call_name is not None:
-                connection.note_call(call_name)
-                if self._pool.idle(upstream.address) >= MAX_IDLE_AFTER_ORDER:
-                    connection.retire()
-            content = await reply.whole_body()
+            connection.record_call(reply_id)
+            if reply_id == UNNAMED_CALL and call_name is not None:
+                connection.record_call(call_name)
+                if self._pool.idle_count(upstream.address) >= MAX_IDLE_AFTER_ORDER:
+                    connection.close_after_call()
+            content = await reply.read_body()
             answered_at = trio.current_time()
             self._answer_times.record(upstream.instance, answered_at - sent_at, answered_at)
-        self._apply_notice(upstream, notice_of(reply), content, sent_at)
+        self._apply_notice(upstream, parse_notice(reply), content, sent_at)
         return reply.status, content
 
     def _apply_notice(
@@ -405,7 +403,7 @@
             return
         order_answer = decode_message(content, OrderAnswer)
         born = order_answer.born if order_answer is not None else UNSET
-        if self._start_news(asked, born) is StartOrder.SAME:
+        if self._compare_start(asked, born) is StartOrder.SAME:
             self._on_notice(asked.instance, notice, sent_at, True)
 
 
--- a/features/mutants_gateway.py
+++ b/features/mutants_gateway.py
@@ -37,7 +37,7 @@
 from deckcourse.gateway.upstreams import UpstreamTable
 from deckcourse.http1.client import ConnectionPool, UpstreamConnection
 from deckcourse.http1.message import ConnectionLostError, FailureKind
-from deckcourse.http1.server import RestingConnections
+from deckcourse.http1.server import IdleConnections
 from deckcourse.layers.healer import Healer
 from deckcourse.layers.plan_book import PlanBook
 from deckcourse.platform.dialect import PlatformDialect
@@ -171,7 +171,7 @@
 
 
 def nameless_connections_are_kept():
-    UpstreamConnection.retire = lambda self: None
+    UpstreamConnection.close_after_call = lambda self: None
 
 
 def copies_end_the_call():
@@ -182,7 +182,7 @@
 
 
 def halves_of_copies_are_waited_for():
-    client_module.SURPLUS_SECONDS = 1000.0
+    client_module.DUPLICATE_TIMEOUT_SECONDS = 1000.0
 
 
 def heads_may_merge():
@@ -209,22 +209,22 @@
 
 
 def late_orders():
-    healer_module.ORDER_SECONDS = 1000.0
+    healer_module.ORDER_TIMEOUT_SECONDS = 1000.0
 
 
 def busy_upstreams_pestered():
-    healer_module.BUSY_SECONDS = 0.0
+    healer_module.BUSY_COOLDOWN_SECONDS = 0.0
 
 
 def crossing_is_cheap():
-    paths_module.CROSSING_MS = 0.0
+    paths_module.CROSSING_COST_MS = 0.0
 
 
 def no_healing():
     async def nothing(self, model):
         return None
 
-    Healer._round = nothing
+    Healer._check = nothing
 
 
 def nobody_is_moved():
@@ -283,15 +283,15 @@
 
 
 def orders_are_given_once():
-    orders_module.MOST_ORDER_TRIES = 1
+    orders_module.MAX_ORDER_ATTEMPTS = 1
 
 
 def surplus_bytes_pass():
-    UpstreamConnection.reusable = lambda self: not self._closing and not self._ended
+    UpstreamConnection.is_reusable = lambda self: not self._closing and not self._ended
 
 
 def no_drain():
-    RestingConnections.close = lambda self: None
+    IdleConnections.close = lambda self: None
 
 
 def log_without_bound():
@@ -302,16 +302,16 @@
 
 
 def store_is_never_lost():
-    original = Follower._contact
-    Follower._contact = lambda self, as_of: original(self, as_of + 1000.0)
+    original = Follower._record_answer
+    Follower._record_answer = lambda self, as_of: original(self, as_of + 1000.0)
 
 
 def paths_share_hosts():
-    path_set_module.FULL_WEIGHT = 0.0
+    path_set_module.LOAD_WEIGHT = 0.0
 
 
 def widening_leaps():
-    cuts_module._joined = lambda host, first, end, room: (
+    cuts_module._is_joinable = lambda host, first, end, room: (
         max(end, host.end) - min(first, host.first) <= room
     )
 
@@ -332,7 +332,7 @@
 
 
 def starts_are_one():
-    rows_module.instance_of = lambda runner, start: runner
+    rows_module.instance_name = lambda runner, start: runner
 
 
 def older_starts_come_back():
@@ -340,7 +340,7 @@
 
 
 def any_start_answers():
-    RunnerControl._start_news = lambda self, asked, born: StartOrder.SAME
+    RunnerControl._compare_start = lambda self, asked, born: StartOrder.SAME
 
 
 def ended_starts_keep_streams():
@@ -351,7 +351,7 @@
     original = GatewayNode._on_incarnation_ended
 
     def note_ended(self, older):
-        with patch.object(ConnectionPool, "forget"):
+        with patch.object(ConnectionPool, "close_idle"):
             original(self, older)
 
     GatewayNode._on_incarnation_ended = note_ended
--- a/features/mutants_peers.py
+++ b/features/mutants_peers.py
@@ -46,27 +46,27 @@
 
 
 def one_first_host_a_copy():
-    layouts_module.MOST_STARTERS = 0
+    layouts_module.MAX_EXTRA_FIRST_STAGES = 0
 
 
 def copies_mix_kinds():
-    layouts_module.LAYOUTS = (layouts_module.interleaved,)
+    layouts_module.LAYOUT_FUNCTIONS = (layouts_module.interleaved,)
 
 
 def slow_paths_count_as_fast():
-    usual_paths.COST_POWER = 0.0
+    usual_paths.COST_EXPONENT = 0.0
 
 
 def pauses_add_up():
-    SharedFeed.paces = property(lambda self: False)
+    SharedFeed.paces_reads = property(lambda self: False)
 
 
 def streams_count_as_told():
-    path_load.begun_at.__code__ = told_as_it_is.__code__
+    path_load.streams_started_at.__code__ = told_as_it_is.__code__
 
 
 def told_as_it_is(paths, running, passed_by):
-    return {path.parts[0].instance: running(path.parts[0].instance) for path in paths}
+    return {path.stages[0].instance: running(path.stages[0].instance) for path in paths}
 
 
 def the_best_path_always():
@@ -78,18 +78,18 @@
 
 
 def plans_are_not_told():
-    Healer.hear = lambda self, group, model, record: None
+    Healer.on_plan = lambda self, group, model, record: None
 
 
 def witnesses_hurry_for_good():
-    original = Healer._note_planned
+    original = Healer._record_planned
 
     def note_planned(self, group):
-        witnessed = set(self._witnessed)
+        witnessed = set(self._failed_domains)
         original(self, group)
-        self._witnessed = witnessed
+        self._failed_domains = witnessed
 
-    Healer._note_planned = note_planned
+    Healer._record_planned = note_planned
 
 
 def allowance_never_grows():
--- a/features/steps/healer_steps.py
+++ b/features/steps/healer_steps.py
@@ -45,7 +45,7 @@
         return await context.books[0].claim("g", "m", ())
 
     assert isinstance(trio.run(claim), ClaimUnanswered)
-    assert context.books[0].known("g").number == 2
+    assert context.books[0].last_plan("g").number == 2
     match trio.run(context.claims.read, ["plans/g"]):
         case Success((row,)):
             assert row is not None
@@ -70,7 +70,7 @@
 
 @given("a process whose claim is answered after {seconds:g} seconds")
 def late_claim(context, seconds):
-    context.orderer = CountingOrderer(OrderResult.TAKEN)
+    context.orderer = CountingOrderer(OrderResult.ACCEPTED)
     run_healer(SlowTable(seconds), context.orderer, seconds + 1.5)
 
 
@@ -130,7 +130,7 @@
 async def see_failure(context, tables):
     """Let all processes see a failure, carry out a plan for it, and then open the next gap."""
     for _, healer, _ in context.plan_table.listeners:
-        healer.witness("x")
+        healer.record_failure("x")
     await trio.sleep(2.0)
     assert context.plan_table.claims > 0
     for each in tables:
@@ -144,7 +144,7 @@
 @when("plans reach the other processes after {seconds:g} seconds")
 def plans_propagate(context, seconds):
     context.plan_table = NotifyingTable(seconds)
-    context.orderer = CountingOrderer(OrderResult.TAKEN)
+    context.orderer = CountingOrderer(OrderResult.ACCEPTED)
     context.ordered_at = None
     saw_before = getattr(context, "saw_before", ())
 
--- a/features/steps/interruption_steps.py
+++ b/features/steps/interruption_steps.py
@@ -92,7 +92,7 @@
 
     async def answer(request, exchange):
         await trio.sleep(ANSWER_SECONDS)
-        await exchange.whole(200, (), REPORT)
+        await exchange.respond(200, (), REPORT)
 
     async def pause():
         await trio.sleep(PAUSED_AT_SECONDS)
@@ -141,7 +141,7 @@
 
     async def lose_second(streams):
         gateway = context.site.node.gateway.context
-        (second,) = {each.path.parts[1].instance for each in streams}
+        (second,) = {each.path.stages[1].instance for each in streams}
         context.site.runners[second].die()
         gateway.upstreams.suspect(second, 1.0, lost=True)
         await gateway.monitor._move_all()
