--- a/deckcourse/gateway/calls.py
+++ b/deckcourse/gateway/calls.py
@@ -11,8 +11,8 @@
 from deckcourse.gateway.dialect import Dispatch, ReplyFacts
 from deckcourse.gateway.rate_gate import SendingToken
 from deckcourse.http1.client import (
-    NAMELESS,
-    REMEMBERED_CALLS,
+    MAX_REMEMBERED_CALLS,
+    UNNAMED_CALL,
     UpstreamConnection,
     UpstreamReply,
 )
@@ -22,11 +22,11 @@
 
 __all__ = [
     "Withheld",
+    "check_single_response",
     "is_withheld",
-    "refuse_joined",
     "refuse_quarantined",
-    "send_request",
     "schedule_retry_after",
+    "send_request",
     "within_deadline",
 ]
 
@@ -67,7 +67,7 @@
       admitted: the request.
       has_run: whether an upstream may have executed it while this call was handled.
     """
-    until = context.crashes.refused_until(admitted)
+    until = context.crashes.quarantined_until(admitted)
     if until is None:
         return None
     message = "upstreams crashed while executing this request"
@@ -132,15 +132,17 @@
     caller = admitted.caller
     message = caller.message
     headers = context.dialect.headers_for(caller, dispatch)
-    connection.note_call(caller.request_id)
-    if caller.request_id == NAMELESS:
+    connection.record_call(caller.request_id)
+    if caller.request_id == UNNAMED_CALL:
         # A repeated response without an id could be taken for the response to a control message.
-        connection.retire()
+        connection.close_after_call()
     sent_at = trio.current_time()
     reply = await connection.call(message.method, message.target, headers, message.body)
     facts = context.dialect.facts(reply)
-    for _ in range(REMEMBERED_CALLS):
-        if facts.request_id == caller.request_id or not connection.had_call(facts.request_id):
+    for _ in range(MAX_REMEMBERED_CALLS):
+        if facts.request_id == caller.request_id or not connection.has_recent_call(
+            facts.request_id
+        ):
             break
         context.count("answer.surplus")
         reply = await connection.next_reply()
@@ -151,7 +153,7 @@
     return reply, facts
 
 
-def refuse_joined(reply: UpstreamReply, body: bytes) -> None:
+def check_single_response(reply: UpstreamReply, body: bytes) -> None:
     """Check that a body doesn't contain the start of another response.
 
     That can happen if only the end of the connection delimits the body, or if bytes follow the body
@@ -161,7 +163,7 @@
       ConnectionLostError: it does, so that the end of the first response is unknown.
     """
     framed = any(name in _FRAMING for name, _ in reply.headers)
-    if (not framed or reply.followed) and _holds_status_line(body):
+    if (not framed or reply.has_trailing_bytes) and _holds_status_line(body):
         raise ConnectionLostError(FailureKind.MALFORMED, "the body contains another response")
 
 
--- a/deckcourse/gateway/gateway.py
+++ b/deckcourse/gateway/gateway.py
@@ -125,7 +125,10 @@
 
 
 def _timeout_seconds(caller: CallerRequest, route: RouteSpec) -> float:
-    return min(route.timeout, caller.patience if caller.patience is not None else route.timeout)
+    return min(
+        route.timeout,
+        caller.timeout_seconds if caller.timeout_seconds is not None else route.timeout,
+    )
 
 
 def _not_ready(message: str) -> NotRun:
@@ -136,4 +139,4 @@
     head = response_head(outcome, fractions=True)
     body = msgspec.json.encode({"error": outcome.message, "reason": str(outcome.reason)})
     headers = (*head.headers, (b"content-type", b"application/json"))
-    await exchange.whole(head.status, headers, body)
+    await exchange.respond(head.status, headers, body)
--- a/deckcourse/gateway/lookup.py
+++ b/deckcourse/gateway/lookup.py
@@ -7,15 +7,15 @@
 from deckcourse.gateway.admitted import Admitted
 from deckcourse.gateway.calls import (
     Withheld,
+    check_single_response,
     is_withheld,
-    refuse_joined,
     refuse_quarantined,
     schedule_retry_after,
     send_request,
     within_deadline,
 )
 from deckcourse.gateway.context import GatewayContext
-from deckcourse.gateway.crash_watch import RunStart
+from deckcourse.gateway.crash_watch import AttemptStart
 from deckcourse.gateway.dialect import Dispatch
 from deckcourse.gateway.rate_gate import SendingToken
 from deckcourse.gateway.upstream import Upstream
@@ -106,7 +106,7 @@
             if not self._context.may_send():
                 message = "the configuration may be out of date"
                 return NotRun(NotRunReason.NOT_READY, message, NOT_READY_RETRY_AFTER_SECONDS)
-            if await self._context.crashes.wait_for_turn(self._admitted, upstream.instance):
+            if await self._context.crashes.wait_for_trial(self._admitted, upstream.instance):
                 if attempts:
                     budget.give_back()
                 continue
@@ -129,7 +129,7 @@
                     break
                 self._context.count(f"retry.{RetryReason.REPLY_LOST}")
                 crashes = self._context.crashes
-                await crashes.wait_behind_others(self._admitted, upstream.instance)
+                await crashes.wait_for_preceding_suspects(self._admitted, upstream.instance)
         return await self._give_up(last_failure)
 
     def _may_execute_again(self) -> bool:
@@ -145,9 +145,9 @@
         if self._executions:
             message = last_failure.message if last_failure is not None else "the response was lost"
             return Unknown(UnknownReason.UPSTREAM_LOST, message)
-        opens_at = self._context.upstreams.accepts_at(self._admitted.service.name)
-        if opens_at is not None:
-            min_seconds = max(REFUSED_RETRY_AFTER_SECONDS, opens_at - trio.current_time())
+        accepts_at = self._context.upstreams.accepts_at(self._admitted.service.name)
+        if accepts_at is not None:
+            min_seconds = max(REFUSED_RETRY_AFTER_SECONDS, accepts_at - trio.current_time())
             retry_after = schedule_retry_after(self._context, self._admitted, min_seconds)
             message = f"no upstream accepts requests for {min_seconds:.2f} s"
             return NotRun(NotRunReason.UPSTREAM_BACKOFF, message, retry_after)
@@ -169,7 +169,7 @@
 
     def _accepting(self, rows: list[Upstream]) -> list[Upstream]:
         # Even if no row remains: an upstream's refusal would use up the caller's only attempt.
-        return [each for each in rows if self._context.upstreams.may_begin(each.instance)]
+        return [each for each in rows if self._context.upstreams.is_available(each.instance)]
 
     def _load(self, upstream: Upstream) -> float:
         upstreams = self._context.upstreams
@@ -187,43 +187,43 @@
         try:
             return await self._send(upstream, token)
         finally:
-            await self._context.rates.give_back(token)
+            await self._context.rates.return_token(token)
 
     async def _send(
         self, upstream: Upstream, token: SendingToken
     ) -> _Response | _Refused | _Lost | Withheld:
         context = self._context
-        context.upstreams.begin(upstream.instance)
-        run = context.crashes.begin_run(self._admitted, upstream.instance)
+        context.upstreams.begin_request(upstream.instance)
+        run = context.crashes.begin_attempt(self._admitted, upstream.instance)
         max_idle_seconds = (
             MAX_IDLE_SECONDS if self._admitted.route.repeatable else MAX_IDLE_ONCE_SECONDS
         )
         request_id = self._admitted.caller.request_id
         try:
-            async with context.pool.lent(
+            async with context.pool.borrow(
                 upstream.address, max_idle_seconds, request_id
             ) as connection:
                 result = await self._exchange(connection, upstream, token)
         except ConnectionLostError as failure:
             result = await self._on_failure(upstream, failure, run)
         finally:
-            context.crashes.end_run(self._admitted, upstream.instance)
-            context.upstreams.end(upstream.instance)
+            context.crashes.end_attempt(self._admitted, upstream.instance)
+            context.upstreams.end_request(upstream.instance)
         if isinstance(result, Withheld):
             return result
         failed = not isinstance(result, _Response) or result.status >= SERVER_ERROR
-        context.upstreams.note(upstream.instance, failed)
+        context.upstreams.record_outcome(upstream.instance, failed)
         if failed:
             self._log_failed_attempt(upstream, result)
         return result
 
     async def _on_failure(
-        self, upstream: Upstream, failure: ConnectionLostError, run: RunStart
+        self, upstream: Upstream, failure: ConnectionLostError, run: AttemptStart
     ) -> _Refused | _Lost:
         if failure.kind is FailureKind.UNSENT:
-            self._context.pool.forget(upstream.address)
+            self._context.pool.close_idle(upstream.address)
             return _Refused(RetryReason.UNREACHABLE, failure.message)
-        await self._context.crashes.note_broken(self._admitted, upstream, run)
+        await self._context.crashes.record_broken_attempt(self._admitted, upstream, run)
         return _Lost(failure.message)
 
     async def _exchange(
@@ -244,17 +244,17 @@
         except ConnectionLostError as failure:
             self._executions -= failure.kind is FailureKind.UNSENT
             raise
-        body = await reply.whole_body()
-        if facts.not_run:
+        body = await reply.read_body()
+        if facts.not_executed:
             self._executions -= 1
             return _Refused(RetryReason.REFUSED, f"upstream answered {reply.status}")
-        refuse_joined(reply, body)
+        check_single_response(reply, body)
         if reply.status < SERVER_ERROR:
-            self._context.crashes.note_ran(self._admitted, upstream.instance)
+            self._context.crashes.record_success(self._admitted, upstream.instance)
         return _Response(reply.status, end_to_end(reply.headers), body)
 
     async def _deliver(self, response: _Response) -> Outcome:
-        await self._admitted.exchange.whole(response.status, response.headers, response.body)
+        await self._admitted.exchange.respond(response.status, response.headers, response.body)
         self._context.return_schedule(self._admitted.service.name).note_answered()
         return Answered(0, response.status)
 
--- a/deckcourse/gateway/node.py
+++ b/deckcourse/gateway/node.py
@@ -27,14 +27,14 @@
 from deckcourse.gateway.row_intake import RowIntake
 from deckcourse.gateway.stalls import StallMonitor
 from deckcourse.gateway.traffic_share import TrafficShare
-from deckcourse.gateway.upstream import StartNews, Upstream
+from deckcourse.gateway.upstream import StartOrder, Upstream
 from deckcourse.gateway.upstreams import UpstreamTable
 from deckcourse.http1.server import Exchange, IncomingRequest
 from deckcourse.layers.healer import Healer
 from deckcourse.layers.hosts import Group
 from deckcourse.layers.model import ModelSpec
 from deckcourse.layers.plan_book import PLAN_TABLE, PlanBook, PlanRecord
-from deckcourse.peers.followers import turn_of
+from deckcourse.peers.followers import rank_of
 from deckcourse.peers.peers import Peers
 from deckcourse.peers.rate_limit import RateLimit
 from deckcourse.settings import GatewaySettings
@@ -93,11 +93,11 @@
         self._traffic_share = TrafficShare(trio.current_time)
         self._desired: DesiredState | None = None
         self._desired_changed = trio.Event()
-        self._upstreams = UpstreamTable(trio.current_time, self._note_ended)
-        ports.control.judge_starts(self._on_observed_start)
+        self._upstreams = UpstreamTable(trio.current_time, self._on_incarnation_ended)
+        ports.control.set_start_observer(self._on_observed_start)
         self._rate_limits = RateLimitBook(trio.current_time, self._on_limit_change)
         notices = NoticeIntake(self._upstreams, self._rate_limits, counters.count, log)
-        ports.control.listen(notices.apply)
+        ports.control.set_notice_listener(notices.apply)
         self._path_choices: dict[str, PathChoice] = {}
         self._healers: dict[str, Healer] = {}
         self._plan_book = PlanBook(ports.table, identity.author)
@@ -127,13 +127,13 @@
             counters.count,
             log,
         )
-        ports.control.admit(self._rate_gate.admit)
+        ports.control.set_admission_check(self._rate_gate.admit)
         intake = RowIntake(
             rows,
             self._upstreams,
             self._plan_book,
             ports.pool,
-            self._take_desired,
+            self._apply_desired,
             self._on_plan,
             self._on_row_gone,
             counters.count,
@@ -159,8 +159,8 @@
             random,
             self._on_list_contact,
             process_factor=self._process_factor,
-            gathered=self._receives_relayed_changes,
-            paced=self._is_paced,
+            is_batched=self._receives_relayed_changes,
+            is_paced=self._is_paced,
         )
         self._plan_feed = Follower(
             self._peers.feed,
@@ -169,8 +169,8 @@
             intake.plan_row,
             random,
             process_factor=self._process_factor,
-            gathered=self._receives_relayed_changes,
-            paced=self._is_paced,
+            is_batched=self._receives_relayed_changes,
+            is_paced=self._is_paced,
         )
         self._crash_feed = Follower(
             self._peers.feed,
@@ -180,8 +180,8 @@
             random,
             self._on_list_contact,
             process_factor=self._process_factor,
-            gathered=self._receives_relayed_changes,
-            paced=self._is_paced,
+            is_batched=self._receives_relayed_changes,
+            is_paced=self._is_paced,
         )
         self._lapse_check = LapseCheck(
             self._upstreams, ports.orderer, lambda: self._peers.feed.follows, log
@@ -202,7 +202,7 @@
             dialect=ports.dialect,
             pool=ports.pool,
             monitor=self._monitor,
-            choices=self._path_choice,
+            path_choice=self._path_choice,
             may_send=self.may_send,
             count=counters.count,
             timing=counters.timing,
@@ -229,7 +229,7 @@
     @property
     def ready(self) -> bool:
         """Whether the balancer may send new connections here."""
-        if self._stopping or self._desired is None or not self._upstream_feed.known:
+        if self._stopping or self._desired is None or not self._upstream_feed.is_loaded:
             return False
         return (
             self._configuration_age()
@@ -249,10 +249,10 @@
             return
         if request.method == b"DELETE":
             was_suspect = self._crash_watch.release(identity.decode("latin-1"))
-            await exchange.whole(200 if was_suspect else 404, (), b"")
+            await exchange.respond(200 if was_suspect else 404, (), b"")
             return
         kind = (b"content-type", b"application/json")
-        await exchange.whole(200, (kind,), encode_quarantine(self._crash_watch.view()))
+        await exchange.respond(200, (kind,), encode_quarantine(self._crash_watch.view()))
 
     def stop(self) -> None:
         """Report the process as stopping and not ready; running requests continue."""
@@ -313,7 +313,7 @@
                     self._healers[name] = healer
                     model = partial(self._model_of, name)
                     nursery.start_soon(self._run_forever, healer.run, model, self._may_heal)
-                    nursery.start_soon(self._run_forever, self._path_choice(name).watch.run)
+                    nursery.start_soon(self._run_forever, self._path_choice(name).load_watch.run)
             await changed.wait()
 
     def _poll_wait(self) -> float:
@@ -326,19 +326,19 @@
 
     def _is_paced(self) -> bool:
         """Return whether the shared feed decides how often the store is polled."""
-        return self._peers.feed.paces
+        return self._peers.feed.paces_reads
 
     def _process_factor(self) -> float:
         """Return the number of processes relative to that of a small site."""
-        if not self._traffic_share.measured:
+        if not self._traffic_share.is_measured:
             return INITIAL_PROCESS_FACTOR
-        return self._traffic_share.spread(1.0, SMALL_SITE_TRAFFIC_SHARE)
+        return self._traffic_share.scale_interval(1.0, SMALL_SITE_TRAFFIC_SHARE)
 
     def _planning_rank(self, group: Group) -> int:
         """Return how many processes precede this one in planning for a group."""
         domains = {each.domain for each in group.hosts}
         roster = self._peers.roster
-        return turn_of(roster.own, roster.live(), domains, group.name)
+        return rank_of(roster.own, roster.live(), domains, group.name)
 
     def _model_of(self, service: str) -> ModelSpec | None:
         spec = self._desired.services.get(service) if self._desired is not None else None
@@ -346,7 +346,7 @@
 
     def _may_heal(self) -> bool:
         # Also during shutdown: no other process may have seen an upstream of this domain fail.
-        return self._upstream_feed.known and self.may_send()
+        return self._upstream_feed.is_loaded and self.may_send()
 
     def _new_crash_watch(self) -> CrashWatch:
         evidence = CrashEvidence(
@@ -392,14 +392,14 @@
 
     def _report_lost_upstream(self, domain: str) -> None:
         for healer in self._healers.values():
-            healer.witness(domain)
+            healer.record_failure(domain)
 
-    def _note_ended(self, older: Upstream) -> None:
+    def _on_incarnation_ended(self, older: Upstream) -> None:
         """Drop the state of a superseded incarnation after its upstream restarted."""
         self._rate_limits.forget(older.instance)
         self._counters.count("upstream.restarted")
         self._log("upstream-restarted", instance=older.instance, address=older.address)
-        self._ports.pool.forget(older.address)
+        self._ports.pool.close_idle(older.address)
         self._monitor.note_ended(older)
         self._crash_watch.note_ended(older.instance)
 
@@ -410,14 +410,14 @@
 
     def _on_row_gone(self, upstream: Upstream) -> None:
         """Treat the upstream of a deleted row as ended, unless it left or its row may be lapsed."""
-        if not upstream.leaving and self._upstreams.settled:
+        if not upstream.leaving and self._upstreams.is_settled:
             self._crash_watch.note_ended(upstream.instance)
 
-    def _on_observed_start(self, addressed: Upstream, start: int) -> StartNews:
+    def _on_observed_start(self, addressed: Upstream, start: int) -> StartOrder:
         """Record the start time in a reply; peers may not know of a newer incarnation yet."""
         listed = self._upstreams.get(addressed.instance) is not None
         observed = self._upstreams.observe_start(addressed, start)
-        if listed and observed is StartNews.NEWER:
+        if listed and observed is StartOrder.NEWER:
             self._report_lost_upstream(addressed.domain)
         return observed
 
@@ -429,20 +429,20 @@
     def _on_list_contact(self, recovered: bool) -> None:
         if recovered:
             self._on_store_recovered()
-            if self._operator_feed.lost:
+            if self._operator_feed.is_store_unavailable:
                 # Otherwise its backoff continues, and the configuration stays stale meanwhile.
-                self._operator_feed.ask_anew()
+                self._operator_feed.retry_now()
 
     def _on_contact(self, recovered: bool) -> None:
         if recovered:
             self._on_store_recovered()
-        self._upstream_feed.ask_anew()
+        self._upstream_feed.retry_now()
         self._counters.count("store.regained" if recovered else "store.lost")
         self._log(
             "store-regained" if recovered else "store-lost", age=round(self._configuration_age(), 3)
         )
 
-    def _take_desired(self, desired: DesiredState) -> None:
+    def _apply_desired(self, desired: DesiredState) -> None:
         current_version = self._desired.version if self._desired is not None else None
         if current_version is not None and desired.version <= current_version:
             return
@@ -455,4 +455,4 @@
         for service, healer in self._healers.items():
             model = self._model_of(service)
             if model is not None and model.name == record.model:
-                healer.hear(group, model, record)
+                healer.on_plan(group, model, record)
--- a/deckcourse/gateway/stalls.py
+++ b/deckcourse/gateway/stalls.py
@@ -12,7 +12,7 @@
 import trio
 
 from deckcourse.gateway.active_stream import ActiveStream, Interruption
-from deckcourse.gateway.dialect import MoveResult, Pulse, StreamControl
+from deckcourse.gateway.dialect import MoveResult, ProbeResult, StreamControl
 from deckcourse.gateway.path_choice import PathChoice
 from deckcourse.gateway.upstream import Upstream
 from deckcourse.gateway.upstreams import UpstreamTable
@@ -118,7 +118,7 @@
 
     def note_ended(self, upstream: Upstream) -> None:
         """Interrupt or move the streams of an ended incarnation: the next one doesn't hold them."""
-        if any(each.path.parts[0].instance == upstream.instance for each in self._streams):
+        if any(each.path.stages[0].instance == upstream.instance for each in self._streams):
             self._interrupt_streams_of(upstream.instance, "restarted")
         if self._nursery is not None:
             self._nursery.start_soon(self._move_all)
@@ -147,7 +147,7 @@
 
     def _check_streams(self, nursery: trio.Nursery, now: float) -> None:
         stalled_firsts = {
-            each.path.parts[0].instance for each in self._streams if each.is_stalled(now)
+            each.path.stages[0].instance for each in self._streams if each.is_stalled(now)
         }
         for instance in list(self._query_states):
             if instance not in stalled_firsts and not self._query_states[instance].is_in_flight:
@@ -175,8 +175,8 @@
             query_state.next_at = trio.current_time() + query_state.interval
 
     async def _query_first(self, upstream: Upstream, query_state: _QueryState) -> None:
-        report = await self._control.stalled(upstream)
-        if report is not None and not report.asked:
+        report = await self._control.query_stalled(upstream)
+        if report is not None and not report.was_sent:
             return
         if report is None:
             query_state.unanswered += 1
@@ -185,13 +185,13 @@
                 self._interrupt_streams_of(upstream.instance, "silent")
         else:
             query_state.unanswered = 0
-            self._upstreams.note_pace(upstream.instance, report.pace)
-            await self._handle_report(upstream, report.waiting_for, query_state)
+            self._upstreams.record_pace(upstream.instance, report.pace)
+            await self._handle_report(upstream, report.blocking_addresses, query_state)
 
     async def _probe_later_stages(self, first: str) -> None:
         """Probe the upstreams behind a first stage that may block its stalled streams."""
         instances = self._find_possible_blockers(first)
-        lost: list[tuple[Upstream, Pulse]] = []
+        lost: list[tuple[Upstream, ProbeResult]] = []
         async with trio.open_nursery() as nursery:
             for upstream in self._due_for_probe(instances):
                 nursery.start_soon(self._probe, upstream, lost)
@@ -213,8 +213,8 @@
         now = trio.current_time()
         possible_blockers: set[str] = set()
         for stream in self._streams:
-            if stream.path.parts[0].instance == first and stream.is_stalled(now):
-                later_stages = {part.instance for part in stream.path.parts[1:]}
+            if stream.path.stages[0].instance == first and stream.is_stalled(now):
+                later_stages = {part.instance for part in stream.path.stages[1:]}
                 possible_blockers |= later_stages - self._with_events_since(
                     stream.progress_at + SAME_LOSS_SECONDS
                 )
@@ -226,7 +226,7 @@
             part.instance
             for stream in self._streams
             if stream.has_events and stream.progress_at > moment
-            for part in stream.path.parts
+            for part in stream.path.stages
         }
 
     def _due_for_probe(self, instances: set[str]) -> list[Upstream]:
@@ -238,22 +238,22 @@
         due = []
         for instance in instances:
             upstream = self._upstreams.last_known(instance)
-            if upstream is None or self._upstreams.is_suspect(instance):
+            if upstream is None or self._upstreams.is_suspected(instance):
                 continue
             if instance not in self._next_probe_at:
                 self._next_probe_at[instance] = now + PROBE_INTERVAL_SECONDS
                 due.append(upstream)
         return due
 
-    async def _probe(self, upstream: Upstream, lost: list[tuple[Upstream, Pulse]]) -> None:
+    async def _probe(self, upstream: Upstream, lost: list[tuple[Upstream, ProbeResult]]) -> None:
         """Probe one upstream; append it to `lost` unless it answers."""
-        result = await self._control.pulse(upstream, PROBE_TIMEOUT_SECONDS)
-        if result.pulse is Pulse.SILENT:
-            result = await self._control.pulse(upstream, SECOND_PROBE_TIMEOUT_SECONDS)
-        if result.pulse is Pulse.ALIVE:
-            self._upstreams.note_pace(upstream.instance, result.pace)
-        elif result.pulse is not Pulse.UNASKED:
-            lost.append((upstream, result.pulse))
+        reply = await self._control.probe(upstream, PROBE_TIMEOUT_SECONDS)
+        if reply.result is ProbeResult.SILENT:
+            reply = await self._control.probe(upstream, SECOND_PROBE_TIMEOUT_SECONDS)
+        if reply.result is ProbeResult.ALIVE:
+            self._upstreams.record_pace(upstream.instance, reply.pace)
+        elif reply.result is not ProbeResult.NOT_SENT:
+            lost.append((upstream, reply.result))
 
     def _suspect(self, upstream: Upstream) -> None:
         self._upstreams.suspect(upstream.instance, SUSPICION_TTL_SECONDS)
@@ -267,13 +267,13 @@
         instance = upstream.instance
         deadline = trio.current_time() + SUSPICION_TTL_SECONDS
         try:
-            while trio.current_time() < deadline and self._upstreams.is_suspect(instance):
-                result = await self._control.pulse(upstream, CONFIRMING_PROBE_TIMEOUT_SECONDS)
-                if result.pulse is Pulse.ALIVE:
-                    self._upstreams.clear(instance)
+            while trio.current_time() < deadline and self._upstreams.is_suspected(instance):
+                reply = await self._control.probe(upstream, CONFIRMING_PROBE_TIMEOUT_SECONDS)
+                if reply.result is ProbeResult.ALIVE:
+                    self._upstreams.clear_suspicion(instance)
                     self._log("suspicion-ended", instance=instance, address=upstream.address)
                     return
-                if result.pulse is not Pulse.UNASKED:
+                if reply.result is not ProbeResult.NOT_SENT:
                     self._upstreams.suspect(instance, 0.0, lost=True)
                 await trio.sleep(CONFIRMING_PROBE_INTERVAL_SECONDS)
         finally:
@@ -283,7 +283,7 @@
         affected = [
             each
             for each in self._streams
-            if each.is_at_upstream and each.path.parts[0].instance == instance
+            if each.is_at_upstream and each.path.stages[0].instance == instance
         ]
         interrupted = sum(each.interrupt(Interruption.FIRST_SILENT) for each in affected)
         self._count("stall.first-silent")
@@ -315,9 +315,9 @@
             blocking = self._upstreams.at_address(address, first.service)
             if blocking is None:
                 self._log("stall-unknown-upstream", address=address)
-            elif not self._upstreams.is_suspect(blocking.instance):
+            elif not self._upstreams.is_suspected(blocking.instance):
                 blocking_upstreams[blocking.instance] = blocking
-        lost: list[tuple[Upstream, Pulse]] = []
+        lost: list[tuple[Upstream, ProbeResult]] = []
         async with trio.open_nursery() as nursery:
             for blocking in blocking_upstreams.values():
                 nursery.start_soon(self._probe, blocking, lost)
@@ -367,10 +367,10 @@
         if not stream.is_at_upstream:
             # A write to the caller is pending; a new path would produce events that nobody reads.
             return False
-        later_stages = [each.instance for each in stream.path.parts[1:]]
+        later_stages = [each.instance for each in stream.path.stages[1:]]
         upstreams = self._upstreams
         return stream.blocking_instance in later_stages or any(
-            upstreams.is_suspect(each) or upstreams.has_ended(each) for each in later_stages
+            upstreams.is_suspected(each) or upstreams.has_ended(each) for each in later_stages
         )
 
     def _is_better_elsewhere(self, stream: ActiveStream) -> bool:
@@ -402,9 +402,9 @@
             if not stream.is_at_upstream:
                 return
             path = self._choices(stream.service).onward(
-                stream.model, stream.path.parts[0], frozenset(avoid)
+                stream.model, stream.path.stages[0], frozenset(avoid)
             )
-            first = self._upstreams.last_known(stream.path.parts[0].instance)
+            first = self._upstreams.last_known(stream.path.stages[0].instance)
             if path is None or first is None:
                 break
             elsewhere = path.crossings and self._is_better_elsewhere(stream)
@@ -415,7 +415,7 @@
             if result is MoveResult.MOVED:
                 return
             refusing = self._upstreams.at_address(at_fault, stream.service)
-            if result is not MoveResult.PART_MISSING or refusing is None:
+            if result is not MoveResult.STAGE_MISSING or refusing is None:
                 break
             avoid.add(refusing.instance)
         stream.interrupt(Interruption.NO_OTHER_PATH)
@@ -428,7 +428,7 @@
             "move",
             request=stream.request_id,
             result=str(result),
-            parts=len(path.parts),
+            parts=len(path.stages),
             at_fault=at_fault,
         )
         if result is MoveResult.MOVED:
--- a/deckcourse/gateway/stream.py
+++ b/deckcourse/gateway/stream.py
@@ -16,8 +16,8 @@
 from deckcourse.gateway.admitted import Admitted
 from deckcourse.gateway.calls import (
     Withheld,
+    check_single_response,
     is_withheld,
-    refuse_joined,
     refuse_quarantined,
     schedule_retry_after,
     send_request,
@@ -88,7 +88,7 @@
     def __init__(self, context: GatewayContext, admitted: Admitted) -> None:
         self._context = context
         self._admitted = admitted
-        self._choice = context.choices(admitted.service.name)
+        self._choice = context.path_choice(admitted.service.name)
         self._avoided: set[str] = set()
         self._executions = 0
         # Whether any attempt has returned events.
@@ -97,7 +97,7 @@
         self._last_event = admitted.caller.last_event
         self._last_progress_at = trio.current_time()
         self._arrived_at = trio.current_time()
-        self._choice.watch.note_request()
+        self._choice.load_watch.note_request()
 
     @property
     def _has_started(self) -> bool:
@@ -140,7 +140,7 @@
                 return refusal
             if not self._context.may_send():
                 return self._give_up(last_failure, NotRunReason.NOT_READY, FULL_RETRY_AFTER_SECONDS)
-            if await self._context.crashes.wait_for_turn(self._admitted, path.parts[0].instance):
+            if await self._context.crashes.wait_for_trial(self._admitted, path.stages[0].instance):
                 if attempts:
                     self._retries.reserve_unused()
                 continue
@@ -161,8 +161,8 @@
             if not self._executions and attempts == MAX_ATTEMPTS:
                 break
             if isinstance(result, _Broken) and not self._has_received_events:
-                first = path.parts[0].instance
-                await self._context.crashes.wait_behind_others(self._admitted, first)
+                first = path.stages[0].instance
+                await self._context.crashes.wait_for_preceding_suspects(self._admitted, first)
         return self._give_up(last_failure, NotRunReason.UPSTREAM_REFUSED, FULL_RETRY_AFTER_SECONDS)
 
     def _refuse_before_execution(
@@ -196,11 +196,11 @@
 
     def _no_path_outcome(self, last_failure: _Refused | _Broken | None) -> Outcome:
         """Return the outcome if no path is usable, with the end of the backoffs as retry-after."""
-        opens_at = self._choice.opens_at(self._admitted.service.model)
-        if self._executions or opens_at is None:
+        accepts_at = self._choice.accepts_at(self._admitted.service.model)
+        if self._executions or accepts_at is None:
             return self._give_up(last_failure, NotRunReason.NO_ROUTE, NO_PATH_RETRY_AFTER_SECONDS)
         # Refused immediately: waiting here would not serve the caller sooner.
-        seconds = max(0.0, opens_at - trio.current_time())
+        seconds = max(0.0, accepts_at - trio.current_time())
         message = f"the first upstream of every path accepts no requests for {seconds:.2f} s"
         return NotRun(NotRunReason.UPSTREAM_BACKOFF, message, self._retry_after(seconds))
 
@@ -226,24 +226,24 @@
         model = self._admitted.service.model
         trials = self._context.crashes.trial_upstreams()
         choose = self._choice.choose
-        if self._context.crashes.known_ends(self._admitted):
+        if self._context.crashes.crash_count(self._admitted):
             choose = self._choice.choose_least_busy
         path = choose(model, avoid | trials) if trials else None
         return path or choose(model, avoid)
 
     async def _attempt_with_token(self, path: LayerPath) -> _AttemptResult:
         """Attempt a path with a token for its first upstream; gives an unused token back."""
-        token = await self._context.rates.acquire(path.parts[0].instance)
+        token = await self._context.rates.acquire(path.stages[0].instance)
         if token is None:
             return Withheld()
         try:
             return await self._attempt(path, token)
         finally:
-            await self._context.rates.give_back(token)
+            await self._context.rates.return_token(token)
 
     async def _attempt(self, path: LayerPath, token: SendingToken) -> _AttemptResult:
         context = self._context
-        first = path.parts[0]
+        first = path.stages[0]
         stream = ActiveStream(
             self._admitted.caller.request_id,
             self._admitted.service.name,
@@ -253,12 +253,14 @@
             self._admitted.route.gap_objective,
             reserve_retry=self._retries.reserve,
         )
-        context.upstreams.begin(first.instance)
+        context.upstreams.begin_request(first.instance)
         context.monitor.add(stream)
         try:
             with stream.interruptible():
-                connection = await context.pool.acquire(first.address, unlike=stream.request_id)
-            with context.pool.kept_or_closed(connection):
+                connection = await context.pool.acquire(
+                    first.address, without_call=stream.request_id
+                )
+            with context.pool.release_after_call(connection):
                 result = await self._exchange(connection, stream, token)
         except ConnectionLostError as failure:
             result = await self._on_failure(stream, failure)
@@ -266,15 +268,15 @@
             return await self._on_interruption(stream)
         finally:
             context.monitor.discard(stream)
-            context.crashes.end_run(self._admitted, first.instance)
-            context.upstreams.end(first.instance)
+            context.crashes.end_attempt(self._admitted, first.instance)
+            context.upstreams.end_request(first.instance)
         if isinstance(result, _Finished | _Broken):
-            context.upstreams.note(first.instance, isinstance(result, _Broken))
+            context.upstreams.record_outcome(first.instance, isinstance(result, _Broken))
         return result
 
     async def _on_interruption(self, stream: ActiveStream) -> _AttemptResult:
         if stream.interruption is not Interruption.BETTER_ELSEWHERE:
-            self._avoided.add(stream.path.parts[0].instance)
+            self._avoided.add(stream.path.stages[0].instance)
         if stream.interruption is Interruption.FIRST_SILENT:
             await self._report_interrupted(stream)
         self._context.count(f"retry.{RetryReason.STAGE_STALLED}")
@@ -282,7 +284,7 @@
         self._context.log(
             "try-interrupted",
             request=self._admitted.caller.request_id,
-            instance=stream.path.parts[0].instance,
+            instance=stream.path.stages[0].instance,
             why=str(stream.interruption),
             begun=exchange.started,
             torn=exchange.torn,
@@ -293,11 +295,11 @@
     async def _on_failure(
         self, stream: ActiveStream, failure: ConnectionLostError
     ) -> _AttemptResult:
-        instance = stream.path.parts[0].instance
+        instance = stream.path.stages[0].instance
         self._avoided.add(instance)
         if failure.kind is FailureKind.UNSENT:
             self._context.upstreams.suspect(instance, UNREACHABLE_COOLDOWN_SECONDS, lost=True)
-            self._context.pool.forget(stream.path.parts[0].address)
+            self._context.pool.close_idle(stream.path.stages[0].address)
             self._context.count(f"retry.{RetryReason.UNREACHABLE}")
             return _Refused(RetryReason.UNREACHABLE, failure.message)
         await self._report_interrupted(stream)
@@ -306,9 +308,11 @@
 
     async def _report_interrupted(self, stream: ActiveStream) -> None:
         """Report an interrupted execution unless events came, which clear the request."""
-        upstream = self._context.upstreams.last_known(stream.path.parts[0].instance)
+        upstream = self._context.upstreams.last_known(stream.path.stages[0].instance)
         if upstream is not None and not stream.has_events and not self._has_received_events:
-            await self._context.crashes.note_broken(self._admitted, upstream, stream.execution)
+            await self._context.crashes.record_broken_attempt(
+                self._admitted, upstream, stream.execution
+            )
 
     async def _exchange(
         self, connection: UpstreamConnection, stream: ActiveStream, token: SendingToken
@@ -318,7 +322,7 @@
         if is_withheld(self._context, token):
             return Withheld()
         dispatch = Dispatch(
-            stream.path.parts[0].instance,
+            stream.path.stages[0].instance,
             admitted.deadline - trio.current_time(),
             admitted.account_name,
             admitted.priority,
@@ -327,9 +331,9 @@
         )
         stream.progress_at = trio.current_time()
         self._executions += 1
-        stream.execution = self._context.crashes.begin_run(admitted, dispatch.instance)
+        stream.execution = self._context.crashes.begin_attempt(admitted, dispatch.instance)
         self._retries.note_execution(dispatch.instance)
-        self._choice.watch.note_sent(dispatch.instance)
+        self._choice.load_watch.note_sent(dispatch.instance)
         try:
             with stream.interruptible():
                 reply, facts = await send_request(self._context, admitted, connection, dispatch)
@@ -340,12 +344,12 @@
             return await self._relay(reply, stream)
         stream.is_waiting = False
         with stream.interruptible():
-            body = await reply.whole_body()
-        if facts.not_run:
+            body = await reply.read_body()
+        if facts.not_executed:
             self._executions -= 1
-            self._retries.note_refused(stream.path.parts[0].instance)
+            self._retries.note_refused(stream.path.stages[0].instance)
             return self._on_refusal(stream, reply.status, facts)
-        refuse_joined(reply, body)
+        check_single_response(reply, body)
         return await self._on_other_response(reply, body)
 
     async def _on_other_response(self, reply: UpstreamReply, body: bytes) -> _AttemptResult:
@@ -353,14 +357,14 @@
             reply.status >= SERVER_ERROR and self._retries.may_run_elsewhere()
         ):
             return _Broken(f"upstream answered {reply.status}")
-        await self._admitted.exchange.whole(reply.status, end_to_end(reply.headers), body)
+        await self._admitted.exchange.respond(reply.status, end_to_end(reply.headers), body)
         return _Finished(reply.status)
 
     def _on_refusal(self, stream: ActiveStream, status: int, facts: ReplyFacts) -> _AttemptResult:
         """Record which upstream of the path refused: it is full, lost or lacks its layers."""
-        refusing_instance = stream.path.parts[0].instance
-        if facts.at_fault:
-            row = self._context.upstreams.at_address(facts.at_fault, stream.service)
+        refusing_instance = stream.path.stages[0].instance
+        if facts.failed_address:
+            row = self._context.upstreams.at_address(facts.failed_address, stream.service)
             refusing_instance = row.instance if row is not None else refusing_instance
         self._avoided.add(refusing_instance)
         self._choice.note_full(refusing_instance)
@@ -395,9 +399,9 @@
         """Record that events came, which clears the request of crashing its upstreams."""
         if not self._has_received_events:
             self._has_received_events = True
-            first = stream.path.parts[0].instance
-            self._context.crashes.note_ran(self._admitted, first)
-            self._context.crashes.end_run(self._admitted, first)
+            first = stream.path.stages[0].instance
+            self._context.crashes.record_success(self._admitted, first)
+            self._context.crashes.end_attempt(self._admitted, first)
 
     async def _finish_response(self, reply: UpstreamReply, trailing: bytes) -> None:
         await self._start_response(reply)
@@ -418,7 +422,7 @@
                 request=self._admitted.caller.request_id,
                 event=event.id,
                 waited_ms=round(waited * 1000),
-                instance=stream.path.parts[0].instance,
+                instance=stream.path.stages[0].instance,
                 runs=self._executions,
             )
 
@@ -442,8 +446,8 @@
         self._context.log(
             "try-failed",
             request=self._admitted.caller.request_id,
-            instance=path.parts[0].instance,
-            parts=len(path.parts),
+            instance=path.stages[0].instance,
+            parts=len(path.stages),
             kind=type(result).__name__.strip("_").lower(),
             what=result.message,
             last_event=self._last_event,
--- a/deckcourse/layer_bench.py
+++ b/deckcourse/layer_bench.py
@@ -151,4 +151,4 @@
 
 def _request_capacity(host: LayerHost) -> float:
     held = host.end - host.first
-    return MODEL.places(host.kind, held, held) if held else float("inf")
+    return MODEL.request_capacity(host.kind, held, held) if held else float("inf")
--- a/deckcourse/layers/cuts.py
+++ b/deckcourse/layers/cuts.py
@@ -80,7 +80,7 @@
     largest_gap = max(missing_ranges, key=lambda each: each[1] - each[0], default=(0, 0))
     return sorted(
         hosts,
-        key=lambda each: (largest_gap[0], -1, "") if each.empty else (each.first, each.end, ""),
+        key=lambda each: (largest_gap[0], -1, "") if each.is_empty else (each.first, each.end, ""),
     )
 
 
@@ -93,7 +93,7 @@
     give_up: bool,
 ) -> dict[int, _PartialCut]:
     """Return the best cuts after one more host; a fixed host runs only layers that it holds."""
-    keeps_layers = not (give_up or host.empty)
+    keeps_layers = not (give_up or host.is_empty)
     spare_layers = 0 if is_fixed else model.max_layers(host.kind) - (host.end - host.first)
     best: dict[int, _PartialCut] = {}
     for first, cut in _cheapest_starts(model, by_end):
@@ -103,7 +103,7 @@
             load = end - first - overlap if overlap > 0 else end - first
             if load > spare_layers:
                 continue
-            if keeps_layers and load and not _joined(host, first, end, max_layers):
+            if keeps_layers and load and not _is_joinable(host, first, end, max_layers):
                 continue
             cost = (uncovered, max(max_load, load), total_load + load)
             if end not in best or cost < best[end][:3]:
@@ -111,7 +111,7 @@
     return best
 
 
-def _joined(host: LayerHost, first: int, end: int, max_layers: int) -> bool:
+def _is_joinable(host: LayerHost, first: int, end: int, max_layers: int) -> bool:
     """Return whether a range and a host's own range form one range that the host has room for."""
     is_touching = first <= host.end and host.first <= end
     return is_touching and max(end, host.end) - min(first, host.first) <= max_layers
--- a/deckcourse/layers/path_set.py
+++ b/deckcourse/layers/path_set.py
@@ -13,14 +13,14 @@
 
 from deckcourse.layers.hosts import LayerHost
 from deckcourse.layers.model import ModelSpec
-from deckcourse.layers.paths import LayerPath, PathFinder, PathPart
+from deckcourse.layers.paths import LayerPath, PathFinder, PathStage
 
 __all__ = ["PathSet"]
 
 # Weight of a host's memory load: added to its cost factor if the paths over it admit exactly the
 # streams that fill its memory, four times as much if they fill it twice. The pace of the sites'
 # kinds differs by a factor of up to 6.7, so a path changes to another kind before it fills a host.
-FULL_WEIGHT = 3.0
+LOAD_WEIGHT = 3.0
 # Number of paths of one domain that are spread over its hosts; further ones are the best from their
 # first stages.
 MAX_SPREAD_PATHS = 12
@@ -43,16 +43,16 @@
         self._inside_of: dict[str, list[LayerPath]] = {}
         same_model = before is not None and before.model == model
         self._previous_inside = before._inside if same_model else {}
-        self._hosts = tuple(each for each in hosts if each.usable and not each.empty)
+        self._hosts = tuple(each for each in hosts if each.usable and not each.is_empty)
         self._starts: dict[frozenset[str], list[LayerPath]] = {}
-        self._onward: dict[tuple[PathPart, str, frozenset[str]], LayerPath | None] = {}
+        self._onward: dict[tuple[PathStage, str, frozenset[str]], LayerPath | None] = {}
 
     @property
     def model(self) -> ModelSpec:
         """The model whose layers the paths run."""
         return self._model
 
-    def starts(self, avoid: frozenset[str] = frozenset()) -> list[LayerPath]:
+    def all_paths(self, avoid: frozenset[str] = frozenset()) -> list[LayerPath]:
         """Return a path from each host that can be a first stage, cheapest first.
 
         Args:
@@ -62,7 +62,7 @@
             self._starts[avoid] = self._find_starts(avoid)
         return self._starts[avoid]
 
-    def inside(self, domain: str) -> list[LayerPath]:
+    def paths_inside(self, domain: str) -> list[LayerPath]:
         """Return the paths inside a domain, none if it lacks a layer.
 
         Paths of other domains, which most requests don't need, are not computed.
@@ -72,7 +72,7 @@
             self._inside_of[domain] = self._find_inside(domain_hosts) if domain_hosts else []
         return self._inside_of[domain]
 
-    def onward(self, first: PathPart, domain: str, avoid: frozenset[str]) -> LayerPath | None:
+    def path_after(self, first: PathStage, domain: str, avoid: frozenset[str]) -> LayerPath | None:
         """Return the best path with a given first stage, None if there is none.
 
         Args:
@@ -111,7 +111,9 @@
             self._inside[members] = paths
         return self._inside[members]
 
-    def _find_onward(self, first: PathPart, domain: str, avoid: frozenset[str]) -> LayerPath | None:
+    def _find_onward(
+        self, first: PathStage, domain: str, avoid: frozenset[str]
+    ) -> LayerPath | None:
         hosts = self._hosts_except(avoid)
         inside = [each for each in hosts if each.domain == domain]
         path = PathFinder(self._model, inside, (first.end,)).cheapest_path_after(first, domain)
@@ -144,7 +146,7 @@
                 path_counts.subtract(path.instances)
                 paths[index] = self._path_avoiding_load(finder, hosts, path_counts, path)
                 path_counts.update(paths[index].instances)
-        return [replace(each, cost=finder.cost(each.parts)) for each in paths]
+        return [replace(each, cost=finder.cost(each.stages)) for each in paths]
 
     def _max_memory_load(
         self, hosts: Mapping[str, LayerHost], path: LayerPath, path_counts: Counter[str]
@@ -158,7 +160,7 @@
         return (
             path_count
             * self._model.requests
-            / max(1.0, self._model.places(host.kind, layers, layers))
+            / max(1.0, self._model.request_capacity(host.kind, layers, layers))
         )
 
     def _path_avoiding_load(
@@ -170,8 +172,8 @@
     ) -> LayerPath:
         """Return the best path from another path's first stage, given the load of paths in use."""
         load_factors = {
-            name: 1.0 + FULL_WEIGHT * self._memory_load(hosts[name], path_count) ** 2
+            name: 1.0 + LOAD_WEIGHT * self._memory_load(hosts[name], path_count) ** 2
             for name, path_count in path_counts.items()
         }
-        first = hosts[start.parts[0].instance]
+        first = hosts[start.stages[0].instance]
         return finder.slowed(load_factors).cheapest_path_from(first) or start
--- a/deckcourse/platform/runners.py
+++ b/deckcourse/platform/runners.py
@@ -12,15 +12,15 @@
     LoadReport,
     MoveResult,
     NoticeListener,
-    Pulse,
-    PulseReading,
+    ProbeReply,
+    ProbeResult,
     StallReport,
 )
-from deckcourse.gateway.upstream import StartNews, Upstream
+from deckcourse.gateway.upstream import StartOrder, Upstream
 from deckcourse.gateway.upstream_notice import UpstreamNotice
 from deckcourse.http1.client import (
-    NAMELESS,
-    REMEMBERED_CALLS,
+    MAX_REMEMBERED_CALLS,
+    UNNAMED_CALL,
     ConnectionPool,
     UpstreamReply,
 )
@@ -37,7 +37,7 @@
     REPORT,
     REQUEST_ID,
 )
-from deckcourse.platform.notices import notice_of
+from deckcourse.platform.notices import parse_notice
 from deckcourse.platform.reports import OrderAnswer, Report, decode_message, held_range
 from deckcourse.platform.starts import runner_id
 
@@ -96,29 +96,30 @@
     since it contains the order count, while a load or a stall may be slightly outdated.
 
     A runner may have restarted under its id since the call was made. The reply of another
-    incarnation is ignored, after its start time has been passed to the callback of `judge_starts`.
+    incarnation is ignored, after its start time has been passed to the callback of
+    `set_start_observer`.
     """
 
     def __init__(self, pool: ConnectionPool) -> None:
         self._pool = pool
         self._answer_times = AnswerTimes()
-        self._judge_start: Callable[[Upstream, int], StartNews] = (
-            lambda asked, start: StartNews.SAME
+        self._judge_start: Callable[[Upstream, int], StartOrder] = (
+            lambda asked, start: StartOrder.SAME
         )
         self._admit: Callable[[str, Purpose], Awaitable[bool]] = (
             lambda instance, purpose: _admit_all()
         )
-        self._on_notice: NoticeListener = lambda instance, notice, sent_at, is_question: None
+        self._on_notice: NoticeListener = lambda instance, notice, sent_at, is_control: None
 
-    def judge_starts(self, judge: Callable[[Upstream, int], StartNews]) -> None:
+    def set_start_observer(self, judge: Callable[[Upstream, int], StartOrder]) -> None:
         """Register the callback that compares a reply's start time with the queried incarnation."""
         self._judge_start = judge
 
-    def listen(self, listener: NoticeListener) -> None:
+    def set_notice_listener(self, listener: NoticeListener) -> None:
         """Register the listener for notices in replies to queries and orders."""
         self._on_notice = listener
 
-    def admit(self, admission: Callable[[str, Purpose], Awaitable[bool]]) -> None:
+    def set_admission_check(self, admission: Callable[[str, Purpose], Awaitable[bool]]) -> None:
         """Register the admission check for queries and orders."""
         self._admit = admission
 
@@ -132,9 +133,9 @@
             now = trio.current_time()
             self._answer_times.record_timeout(upstream.instance, wait.seconds, now)
 
-    def _start_news(self, asked: Upstream, born: int | UnsetType) -> StartNews:
+    def _compare_start(self, asked: Upstream, born: int | UnsetType) -> StartOrder:
         """Return which incarnation replied; without a start time it counts as the queried one."""
-        return StartNews.SAME if born is UNSET else self._judge_start(asked, born)
+        return StartOrder.SAME if born is UNSET else self._judge_start(asked, born)
 
     async def place(self, upstream: Upstream, assignment: Assignment, orders: int) -> OrderResult:
         """Order the assigned layers; accepted if the runner has taken `orders` orders so far."""
@@ -148,7 +149,7 @@
         answer = await self._order(upstream, body, ORDER_TIMEOUT_SECONDS, Purpose.ORDER)
         if answer is None:
             return OrderResult.UNANSWERED
-        results = {200: OrderResult.HELD, 202: OrderResult.TAKEN, 409: OrderResult.CONFLICT}
+        results = {200: OrderResult.HELD, 202: OrderResult.ACCEPTED, 409: OrderResult.CONFLICT}
         return results.get(answer[0], OrderResult.REFUSED)
 
     async def order_count(self, upstream: Upstream) -> int | None:
@@ -163,59 +164,59 @@
             return None
         return LayerReport(report.sequence, held_range(report), report.utilization)
 
-    async def stalled(self, upstream: Upstream) -> StallReport | None:
+    async def query_stalled(self, upstream: Upstream) -> StallReport | None:
         """Return the stalled requests whose first stage is this runner, None without a reply."""
         try:
             report = await self._report(upstream)
         except _NotAdmittedError:
-            return StallReport({}, asked=False)
+            return StallReport({}, was_sent=False)
         if report is None:
             return None
         return StallReport({each.id: each.address for each in report.stalled}, report.pace)
 
-    async def load(self, upstream: Upstream) -> LoadReport | None:
+    async def query_load(self, upstream: Upstream) -> LoadReport | None:
         """Return a runner's load, None without a reply."""
         report = await self._report_if_admitted(upstream)
         if report is None:
             return None
         return LoadReport(report.running, report.queued, report.kvUsed, report.kvTotal)
 
-    async def pulse(self, upstream: Upstream, seconds: float) -> PulseReading:
+    async def probe(self, upstream: Upstream, seconds: float) -> ProbeReply:
         """Probe a runner with a query; DEAD if its machine refuses connections."""
-        if not await self._admit(upstream.instance, Purpose.QUESTION):
-            return PulseReading(Pulse.UNASKED)
+        if not await self._admit(upstream.instance, Purpose.QUERY):
+            return ProbeReply(ProbeResult.NOT_SENT)
         seconds = self._timeout(seconds)
         wait = _TimedWait(seconds)
         reading = await self._probe_once(upstream, seconds)
-        if reading.pulse is Pulse.SILENT:
+        if reading.result is ProbeResult.SILENT:
             self._record_timeout(upstream, wait)
-        if reading.pulse is Pulse.SILENT and wait.process_was_paused:
-            if not await self._admit(upstream.instance, Purpose.QUESTION):
-                return PulseReading(Pulse.UNASKED)
+        if reading.result is ProbeResult.SILENT and wait.process_was_paused:
+            if not await self._admit(upstream.instance, Purpose.QUERY):
+                return ProbeReply(ProbeResult.NOT_SENT)
             return await self._probe_once(upstream, seconds)
         return reading
 
-    async def reach(self, upstream: Upstream, seconds: float) -> Pulse:
+    async def probe_connection(self, upstream: Upstream, seconds: float) -> ProbeResult:
         """Probe a runner by opening a connection only: some runners would execute any request."""
         with trio.move_on_after(self._timeout(seconds)):
             try:
                 connection = await self._pool.open(upstream.address)
             except ConnectionLostError:
-                return Pulse.DEAD
+                return ProbeResult.DEAD
             try:
                 await trio.sleep(PROXY_CLOSE_TIMEOUT_SECONDS)
-                return Pulse.ALIVE if connection.is_quiet() else Pulse.SILENT
+                return ProbeResult.ALIVE if connection.is_quiet() else ProbeResult.SILENT
             finally:
                 connection.abort()
-        return Pulse.SILENT
+        return ProbeResult.SILENT
 
-    async def _probe_once(self, upstream: Upstream, seconds: float) -> PulseReading:
+    async def _probe_once(self, upstream: Upstream, seconds: float) -> ProbeReply:
         has_replied = False
         with trio.move_on_after(seconds):
             # An idle connection may have been closed by the runner, so a failure is retried once.
             for attempt in range(2):
-                if attempt and not await self._admit(upstream.instance, Purpose.QUESTION):
-                    return PulseReading(Pulse.ALIVE if has_replied else Pulse.UNASKED)
+                if attempt and not await self._admit(upstream.instance, Purpose.QUERY):
+                    return ProbeReply(ProbeResult.ALIVE if has_replied else ProbeResult.NOT_SENT)
                 try:
                     status, content = await self._exchange(upstream, b"GET", REPORT)
                 except ConnectionLostError as failure:
@@ -226,21 +227,21 @@
                 if report is None or status == MISDIRECTED:
                     has_replied = True
                     continue
-                incarnation = self._start_news(upstream, report.born)
-                if incarnation is StartNews.NEWER:
-                    return PulseReading(Pulse.DEAD)
-                return PulseReading(
-                    Pulse.ALIVE, report.pace if incarnation is StartNews.SAME else 1.0
+                incarnation = self._compare_start(upstream, report.born)
+                if incarnation is StartOrder.NEWER:
+                    return ProbeReply(ProbeResult.DEAD)
+                return ProbeReply(
+                    ProbeResult.ALIVE, report.pace if incarnation is StartOrder.SAME else 1.0
                 )
-            return PulseReading(Pulse.ALIVE if has_replied else Pulse.DEAD)
-        return PulseReading(Pulse.ALIVE if has_replied else Pulse.SILENT)
+            return ProbeReply(ProbeResult.ALIVE if has_replied else ProbeResult.DEAD)
+        return ProbeReply(ProbeResult.ALIVE if has_replied else ProbeResult.SILENT)
 
     async def move(
         self, upstream: Upstream, request_id: str, path: LayerPath
     ) -> tuple[MoveResult, str]:
         """Move a running request to another path.
 
-        With PART_MISSING, the second value is the address of the runner whose part is missing.
+        With STAGE_MISSING, the second value is the address of the runner whose stage is missing.
         """
         body = {"op": "repath", "id": request_id, "path": format_path(path)}
         answer = await self._order(upstream, body, REPORT_TIMEOUT_SECONDS)
@@ -251,7 +252,7 @@
             return MoveResult.MOVED, ""
         if status == 409:
             refusal = decode_message(content, OrderAnswer)
-            return MoveResult.PART_MISSING, refusal.address if refusal is not None else ""
+            return MoveResult.STAGE_MISSING, refusal.address if refusal is not None else ""
         return MoveResult.UNKNOWN_REQUEST, ""
 
     async def _order(
@@ -259,7 +260,7 @@
         upstream: Upstream,
         value: object,
         seconds: float,
-        purpose: Purpose = Purpose.QUESTION,
+        purpose: Purpose = Purpose.QUERY,
     ) -> tuple[int, bytes] | None:
         """Send an order on a connection where no duplicate reply can be taken for its reply.
 
@@ -278,7 +279,7 @@
         order_answer = decode_message(answer[1], OrderAnswer)
         if (
             order_answer is not None
-            and self._start_news(upstream, order_answer.born) is not StartNews.SAME
+            and self._compare_start(upstream, order_answer.born) is not StartOrder.SAME
         ):
             return None
         return answer
@@ -316,7 +317,7 @@
             await trio.sleep(TOKEN_RETRY_INTERVAL_SECONDS)
 
     async def _report_if_admitted(
-        self, upstream: Upstream, purpose: Purpose = Purpose.QUESTION
+        self, upstream: Upstream, purpose: Purpose = Purpose.QUERY
     ) -> Report | None:
         """Return a runner's report, None without a reply or without a token."""
         try:
@@ -324,9 +325,7 @@
         except _NotAdmittedError:
             return None
 
-    async def _report(
-        self, upstream: Upstream, purpose: Purpose = Purpose.QUESTION
-    ) -> Report | None:
+    async def _report(self, upstream: Upstream, purpose: Purpose = Purpose.QUERY) -> Report | None:
         """Return a runner's report, None if none came in time or another incarnation replied.
 
         If this process was paused at the timeout, the reply may have come unread, and the query is
@@ -345,7 +344,7 @@
         if answer is None or answer[0] != 200:
             return None
         report = decode_message(answer[1], Report)
-        if report is None or self._start_news(upstream, report.born) is not StartNews.SAME:
+        if report is None or self._compare_start(upstream, report.born) is not StartOrder.SAME:
             return None
         return report
 
@@ -372,28 +371,28 @@
         if body:
             headers.append((b"content-type", b"application/json"))
             headers.append((b"content-length", str(len(body)).encode()))
-        async with self._pool.lent(upstream.address, unlike=call_name) as connection:
+        async with self._pool.borrow(upstream.address, without_call=call_name) as connection:
             sent_at = trio.current_time()
             reply = await connection.call(method, target, tuple(headers), body)
             reply_id = _id(reply)
-            for _ in range(REMEMBERED_CALLS):
-                if reply_id in (call_id, NAMELESS) or not connection.had_call(reply_id):
+            for _ in range(MAX_REMEMBERED_CALLS):
+                if reply_id in (call_id, UNNAMED_CALL) or not connection.has_recent_call(reply_id):
                     break
                 reply = await connection.next_reply()
                 reply_id = _id(reply)
-            if reply_id not in (call_id, NAMELESS):
+            if reply_id not in (call_id, UNNAMED_CALL):
                 raise ConnectionLostError(
                     FailureKind.MALFORMED, "the reply belongs to another call"
                 )
-            connection.note_call(reply_id)
-            if reply_id == NAMELESS and call_name is not None:
-                connection.note_call(call_name)
-                if self._pool.idle(upstream.address) >= MAX_IDLE_AFTER_ORDER:
-                    connection.retire()
-            content = await reply.whole_body()
+            connection.record_call(reply_id)
+            if reply_id == UNNAMED_CALL and call_name is not None:
+                connection.record_call(call_name)
+                if self._pool.idle_count(upstream.address) >= MAX_IDLE_AFTER_ORDER:
+                    connection.close_after_call()
+            content = await reply.read_body()
             answered_at = trio.current_time()
             self._answer_times.record(upstream.instance, answered_at - sent_at, answered_at)
-        self._apply_notice(upstream, notice_of(reply), content, sent_at)
+        self._apply_notice(upstream, parse_notice(reply), content, sent_at)
         return reply.status, content
 
     def _apply_notice(
@@ -404,7 +403,7 @@
             return
         order_answer = decode_message(content, OrderAnswer)
         born = order_answer.born if order_answer is not None else UNSET
-        if self._start_news(asked, born) is StartNews.SAME:
+        if self._compare_start(asked, born) is StartOrder.SAME:
             self._on_notice(asked.instance, notice, sent_at, True)
 
 
--- a/features/gateway_runner.py
+++ b/features/gateway_runner.py
@@ -65,13 +65,13 @@
         self.hosts = {}
         self.waiting = {}
         self.behaviour = ""
-        self.obeys = True
+        self.accepts_orders = True
         self.running = self.queued = 0
         self.work = 0.05
         self.slots = 6
         self.kind = "card"
         self.unloaded_at_once = False
-        self.holds_up = False
+        self.blocks_streams = False
         self.silent_until = 0.0
         # Delay before it answers queries and orders, seconds.
         self.control_delay = 0.0
@@ -80,7 +80,7 @@
         self.on_order = None
         # The backoffs that a refusal requests, one header each; the upstream at fault; whether
         # control calls are refused too; and whether every response says that it is leaving.
-        self.asks = ()
+        self.requested_backoffs = ()
         self.at_fault = ""
         self.refuses_control = False
         self.says_leaving = False
@@ -96,7 +96,7 @@
         if not self.says_leaving:
             return limits
         leaving_notice = SentNotice(self.instance, self.born, trio.current_time())
-        self.world.told_leaving.append(leaving_notice)
+        self.world.leaving_notices.append(leaving_notice)
         return (*limits, (b"server-leaving", b"1"))
 
     @property
@@ -106,23 +106,23 @@
 
     def refusal(self):
         """Return the headers of a refusal, and record the backoffs that it requests."""
-        for each in self.asks:
+        for each in self.requested_backoffs:
             if each.replace(".", "", 1).isdigit():
                 sent_notice = SentNotice(self.instance, self.born, trio.current_time(), float(each))
-                self.world.asked.append(sent_notice)
-        backoffs = tuple((b"retry-after", each.encode()) for each in self.asks)
+                self.world.backoff_notices.append(sent_notice)
+        backoffs = tuple((b"retry-after", each.encode()) for each in self.requested_backoffs)
         at_fault_header = ((b"at-server", self.at_fault.encode()),) if self.at_fault else ()
         return (*self.response_headers, (b"x-not-executed", b"1"), *at_fault_header, *backoffs)
 
     @property
-    def told_start(self):
+    def start_fields(self):
         """The fields that identify this incarnation, at the top of each of its messages."""
         return {} if self.born is None else {"born": self.born}
 
     def row(self, state="ready"):
         layers = {"rangeStart": self.first, "targetVersion": self.end, "version": 1}
         return {
-            **self.told_start,
+            **self.start_fields,
             "service": self.service,
             "address": self.address,
             "zone": self.domain,
@@ -159,7 +159,7 @@
             self.world.network.kill(self.address)
         after = StandinRunner(self.world, self.instance, self.service, self.domain)
         after.slots, after.kind, after.work = self.slots, self.kind, self.work
-        after.obeys, after.born = self.obeys, born
+        after.accepts_orders, after.born = self.accepts_orders, born
         self.world.runners[self.instance] = after
         self.world.network.listen(self.address, after.handle)
         if tells:
@@ -175,15 +175,15 @@
             control_call = ReceivedRequest(
                 CONTROL_CALL, self.instance, self.born, trio.current_time()
             )
-            self.world.questions.append(control_call)
+            self.world.control_calls.append(control_call)
         if self.control_delay and request.target.startswith(b"/v1/"):
             await trio.sleep(self.control_delay)
         if self.refuses_control and request.target.startswith(b"/v1/"):
-            await exchange.whole(503, self.refusal(), b"")
+            await exchange.respond(503, self.refusal(), b"")
         elif has_control_calls and request.target == b"/v1/report":
             await trio.sleep_until(self.silent_until)
             report = {
-                **self.told_start,
+                **self.start_fields,
                 "sequence": self.orders,
                 "running": self.running,
                 "queued": self.queued,
@@ -193,7 +193,7 @@
                     if trio.current_time() - since >= REPORT_LAG_SECONDS
                 ],
             }
-            await exchange.whole(200, self.control_call_headers, json.dumps(report).encode())
+            await exchange.respond(200, self.control_call_headers, json.dumps(report).encode())
         elif has_control_calls and request.target == b"/v1/order":
             await self.order(json.loads(request.body), exchange)
         else:
@@ -203,21 +203,21 @@
         if self.on_order is not None:
             await self.on_order(order, exchange)
             return
-        start_fields = json.dumps(self.told_start).encode()
+        start_fields = json.dumps(self.start_fields).encode()
         if order["op"] == "repath":
             known = order["id"] in self.paths
             if known:
                 self.set_path(order["id"], order["path"])
-            await exchange.whole(200 if known else 404, self.control_call_headers, start_fields)
+            await exchange.respond(200 if known else 404, self.control_call_headers, start_fields)
             return
-        if not self.obeys or order["expectedRev"] != self.orders:
-            await exchange.whole(409, self.control_call_headers, start_fields)
+        if not self.accepts_orders or order["expectedRev"] != self.orders:
+            await exchange.respond(409, self.control_call_headers, start_fields)
             return
         self.orders += 1
         self.unloaded_at_once = order["how"] == "cut"
         self.first, self.end = order["rangeStart"], order["targetVersion"]
         self.world.orders.append((self.instance, self.first, self.end))
-        await exchange.whole(202, self.control_call_headers, start_fields)
+        await exchange.respond(202, self.control_call_headers, start_fields)
         self.world.store.put("servers", self.instance, self.row())
 
     def set_path(self, name, text):
@@ -231,13 +231,13 @@
         seal = (b"x-response-seal", b"seal-" + name.encode())
         answer = ((b"x-request-id", name.encode()), seal)
         arrival = ReceivedRequest(name, self.instance, self.born, trio.current_time())
-        self.world.arrivals.append(arrival)
+        self.world.received_requests.append(arrival)
         if headers.get("x-expected-instance", self.instance) != self.instance:
-            await exchange.whole(421, (answer[0], *self.response_headers), b"")
+            await exchange.respond(421, (answer[0], *self.response_headers), b"")
             return
         if self.behaviour == "full":
             self.world.refusals += 1
-            await exchange.whole(503, (answer[0], *self.refusal()), b"")
+            await exchange.respond(503, (answer[0], *self.refusal()), b"")
             return
         run = Run(name, self.instance, headers, request.target.decode(), request.body)
         self.world.runs.append(run)
@@ -256,7 +256,7 @@
             answer = ((b"x-request-id", b"another"), *answer[1:])
         status = 500 if self.behaviour == "fails" else 200
         run.ended = "answered"
-        await exchange.whole(
+        await exchange.respond(
             status, (*answer, *self.response_headers), f"answer to {run.request}".encode()
         )
 
@@ -267,7 +267,7 @@
             run.ended = "refused"
             self.world.runs.remove(run)
             extra = ((b"x-not-executed", b"1"), (b"at-server", missing.encode()))
-            await exchange.whole(421, (*answer[:1], *extra), b"")
+            await exchange.respond(421, (*answer[:1], *extra), b"")
             return
         first = int(run.headers.get("last-event-id", 0)) + 1
         kind = (b"content-type", b"text/event-stream")
--- a/features/gateway_world.py
+++ b/features/gateway_world.py
@@ -58,10 +58,10 @@
     def __init__(self):
         self.runners = {}
         self.runs = []
-        self.arrivals = []
-        self.questions = []
-        self.asked = []
-        self.told_leaving = []
+        self.received_requests = []
+        self.control_calls = []
+        self.backoff_notices = []
+        self.leaving_notices = []
         self.orders = []
         self.events = 20
         self.paused_until = 0.0
@@ -129,10 +129,12 @@
 
     def serves_no_streams(self, runner):
         """Return whether a runner serves no streams, also because it restarted meanwhile."""
-        return runner.dead or runner.holds_up or self.runners.get(runner.instance) is not runner
+        return (
+            runner.dead or runner.blocks_streams or self.runners.get(runner.instance) is not runner
+        )
 
-    def is_suspect(self, instance):
-        return self.node.gateway.context.upstreams.is_suspect(instance)
+    def is_suspected(self, instance):
+        return self.node.gateway.context.upstreams.is_suspected(instance)
 
     def address_without_layers(self, path):
         """Return the first address on a path that lacks its layers, empty if none does."""
--- a/features/mutants_crashes.py
+++ b/features/mutants_crashes.py
@@ -23,10 +23,10 @@
 
 
 def others_hear_of_no_end():
-    async def tell_crash(self, crash):
+    async def publish_crash(self, crash):
         """Publish nothing."""
 
-    PeerGossip.tell_crash = tell_crash
+    PeerGossip.publish_crash = publish_crash
     CrashBook.write = lambda self, crash: None
 
 
@@ -47,10 +47,10 @@
 
 
 def plain_upstreams_are_asked_questions():
-    async def reach(self, upstream, seconds):
-        return (await self.pulse(upstream, seconds)).pulse
+    async def probe_connection(self, upstream, seconds):
+        return (await self.probe(upstream, seconds)).result
 
-    RunnerControl.reach = reach
+    RunnerControl.probe_connection = probe_connection
 
 
 def convicted_requests_are_tried_by_all():
@@ -73,7 +73,7 @@
 
 
 def the_clock_stands_in_a_suspension():
-    host_clock.CLOCK = time.CLOCK_MONOTONIC
+    host_clock.CLOCK_ID = time.CLOCK_MONOTONIC
 
 
 CRASHES = ("crashing_requests",)
--- a/features/mutants_gateway.py
+++ b/features/mutants_gateway.py
@@ -23,7 +23,7 @@
 from deckcourse.decision_log import DecisionLog
 from deckcourse.gateway.active_stream import ActiveStream
 from deckcourse.gateway.events import Event, EventReader
-from deckcourse.gateway.known_starts import KnownStarts
+from deckcourse.gateway.known_starts import KnownIncarnations
 from deckcourse.gateway.lapse_check import LapseCheck
 from deckcourse.gateway.lookup import ServiceCall
 from deckcourse.gateway.node import GatewayNode
@@ -33,11 +33,11 @@
 from deckcourse.gateway.stream import StreamCall
 from deckcourse.gateway.stream_retries import StreamRetries
 from deckcourse.gateway.traffic_share import TrafficShare
-from deckcourse.gateway.upstream import StartNews
+from deckcourse.gateway.upstream import StartOrder
 from deckcourse.gateway.upstreams import UpstreamTable
 from deckcourse.http1.client import ConnectionPool, UpstreamConnection
 from deckcourse.http1.message import ConnectionLostError, FailureKind
-from deckcourse.http1.server import RestingConnections
+from deckcourse.http1.server import IdleConnections
 from deckcourse.layers.healer import Healer
 from deckcourse.layers.plan_book import PlanBook
 from deckcourse.platform.dialect import PlatformDialect
@@ -115,7 +115,7 @@
     def take(self, desired):
         self._desired = desired
 
-    GatewayNode._take_desired = take
+    GatewayNode._apply_desired = take
 
 
 def no_lapse_grace():
@@ -130,13 +130,14 @@
 
 
 def nobody_asks_the_lapsed():
-    LapseCheck._ask_new = lambda self, nursery: None
+    LapseCheck._probe_new = lambda self, nursery: None
 
 
 def leaving_counts_not():
     original = UpstreamTable.layer_hosts
     UpstreamTable.layer_hosts = lambda self, service: tuple(
-        replace(each, usable=not self.is_suspect(each.instance)) for each in original(self, service)
+        replace(each, usable=not self.is_suspected(each.instance))
+        for each in original(self, service)
     )
 
 
@@ -170,7 +171,7 @@
 
 
 def nameless_connections_are_kept():
-    UpstreamConnection.retire = lambda self: None
+    UpstreamConnection.close_after_call = lambda self: None
 
 
 def copies_end_the_call():
@@ -181,7 +182,7 @@
 
 
 def halves_of_copies_are_waited_for():
-    client_module.SURPLUS_SECONDS = 1000.0
+    client_module.DUPLICATE_TIMEOUT_SECONDS = 1000.0
 
 
 def heads_may_merge():
@@ -208,22 +209,22 @@
 
 
 def late_orders():
-    healer_module.ORDER_SECONDS = 1000.0
+    healer_module.ORDER_TIMEOUT_SECONDS = 1000.0
 
 
 def busy_upstreams_pestered():
-    healer_module.BUSY_SECONDS = 0.0
+    healer_module.BUSY_COOLDOWN_SECONDS = 0.0
 
 
 def crossing_is_cheap():
-    paths_module.CROSSING_MS = 0.0
+    paths_module.CROSSING_COST_MS = 0.0
 
 
 def no_healing():
     async def nothing(self, model):
         return None
 
-    Healer._round = nothing
+    Healer._check = nothing
 
 
 def nobody_is_moved():
@@ -282,15 +283,15 @@
 
 
 def orders_are_given_once():
-    orders_module.MOST_ORDER_TRIES = 1
+    orders_module.MAX_ORDER_ATTEMPTS = 1
 
 
 def surplus_bytes_pass():
-    UpstreamConnection.reusable = lambda self: not self._closing and not self._ended
+    UpstreamConnection.is_reusable = lambda self: not self._closing and not self._ended
 
 
 def no_drain():
-    RestingConnections.close = lambda self: None
+    IdleConnections.close = lambda self: None
 
 
 def log_without_bound():
@@ -301,16 +302,16 @@
 
 
 def store_is_never_lost():
-    original = Follower._contact
-    Follower._contact = lambda self, as_of: original(self, as_of + 1000.0)
+    original = Follower._record_answer
+    Follower._record_answer = lambda self, as_of: original(self, as_of + 1000.0)
 
 
 def paths_share_hosts():
-    path_set_module.FULL_WEIGHT = 0.0
+    path_set_module.LOAD_WEIGHT = 0.0
 
 
 def widening_leaps():
-    cuts_module._joined = lambda host, first, end, room: (
+    cuts_module._is_joinable = lambda host, first, end, room: (
         max(end, host.end) - min(first, host.first) <= room
     )
 
@@ -331,15 +332,15 @@
 
 
 def starts_are_one():
-    rows_module.instance_of = lambda runner, start: runner
+    rows_module.instance_name = lambda runner, start: runner
 
 
 def older_starts_come_back():
-    KnownStarts.note = lambda self, name, start: None
+    KnownIncarnations.set_newest = lambda self, name, start: None
 
 
 def any_start_answers():
-    RunnerControl._start_news = lambda self, asked, born: StartNews.SAME
+    RunnerControl._compare_start = lambda self, asked, born: StartOrder.SAME
 
 
 def ended_starts_keep_streams():
@@ -347,13 +348,13 @@
 
 
 def ended_starts_keep_connections():
-    original = GatewayNode._note_ended
+    original = GatewayNode._on_incarnation_ended
 
     def note_ended(self, older):
-        with patch.object(ConnectionPool, "forget"):
+        with patch.object(ConnectionPool, "close_idle"):
             original(self, older)
 
-    GatewayNode._note_ended = note_ended
+    GatewayNode._on_incarnation_ended = note_ended
 
 
 GATEWAY = ("gateway",)
--- a/features/mutants_rates.py
+++ b/features/mutants_rates.py
@@ -28,10 +28,10 @@
 
 
 def unused_tokens_are_lost():
-    async def give_back(self, token):
+    async def return_token(self, token):
         token.spend()
 
-    RateGate.give_back = give_back
+    RateGate.return_token = return_token
 
 
 def processes_that_start_know_no_limits():
@@ -48,17 +48,17 @@
 
 
 def throttled_upstreams_are_chosen():
-    UpstreamTable.may_begin = UpstreamTable.accepts
+    UpstreamTable.is_available = UpstreamTable.accepts
 
 
 def a_stall_question_without_token_counts_as_unanswered():
-    usual = RunnerControl.stalled
+    usual = RunnerControl.query_stalled
 
     async def stalled(self, upstream):
         report = await usual(self, upstream)
-        return report if report is not None and report.asked else None
+        return report if report is not None and report.was_sent else None
 
-    RunnerControl.stalled = stalled
+    RunnerControl.query_stalled = stalled
 
 
 LIMITS = ("rate_limits", "rate_sharing")
--- a/features/steps/busy_upstream_steps.py
+++ b/features/steps/busy_upstream_steps.py
@@ -23,14 +23,14 @@
 
 
 async def stall_streams(site, seconds):
-    site.runners["x2"].holds_up = True
+    site.runners["x2"].blocks_streams = True
     await trio.sleep(seconds)
-    site.runners["x2"].holds_up = False
+    site.runners["x2"].blocks_streams = False
 
 
 async def drop_traffic(site):
     site.runners["x2"].dead = True
-    site.network.darken(site.runners["x2"].address)
+    site.network.silence(site.runners["x2"].address)
 
 
 async def crash(site):
--- a/features/steps/crash_evidence_steps.py
+++ b/features/steps/crash_evidence_steps.py
@@ -8,7 +8,7 @@
 
 from deckcourse.gateway.crash_evidence import CrashEvidence
 from deckcourse.gateway.crash_watch import CrashWatch
-from deckcourse.gateway.dialect import Pulse
+from deckcourse.gateway.dialect import ProbeResult
 from deckcourse.gateway.upstream import Upstream
 
 UPSTREAM = Upstream("u", "s", "u:1", "x")
@@ -18,7 +18,7 @@
     """Reports every upstream as silent."""
 
     async def probe(self, upstream, has_layers):
-        return Pulse.SILENT
+        return ProbeResult.SILENT
 
 
 class NullCrashBook:
@@ -40,10 +40,10 @@
 class NullPeerGossip:
     """Sends nothing to peers."""
 
-    def share_crashes(self, on_crash, crashes):
+    def register_crash_handlers(self, on_crash, crashes):
         pass
 
-    async def tell_crash(self, crash):
+    async def publish_crash(self, crash):
         pass
 
 
@@ -80,13 +80,13 @@
 
         async def run(identity, began, broke):
             await trio.sleep(began)
-            start = watch.begin_run(admitted(identity), UPSTREAM.instance)
+            start = watch.begin_attempt(admitted(identity), UPSTREAM.instance)
             await trio.sleep(broke - began)
-            await watch.note_broken(admitted(identity), UPSTREAM, start)
+            await watch.record_broken_attempt(admitted(identity), UPSTREAM, start)
 
         async def answer(at):
             await trio.sleep(at)
-            watch.note_ran(admitted("another"), UPSTREAM.instance)
+            watch.record_success(admitted("another"), UPSTREAM.instance)
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(watch.run)
--- a/features/steps/foreign_frame_steps.py
+++ b/features/steps/foreign_frame_steps.py
@@ -19,13 +19,13 @@
 import trio
 from behave import then, when
 from connection_world import reproducible, virtually
-from foreign_rows import DEEP
+from foreign_rows import NESTING_DEPTH
 from hypothesis import given as hypothesis_given
 from hypothesis import strategies
 from peer_world import SETTLE_SECONDS
 
 from deckcourse.gateway.desired import CallerBounds
-from deckcourse.gateway.dialect import Pulse
+from deckcourse.gateway.dialect import ProbeResult
 from deckcourse.gateway.load_watch import LoadWatch
 from deckcourse.gateway.traffic_share import TrafficShare
 from deckcourse.gateway.upstream import Upstream
@@ -59,7 +59,7 @@
 VALID_UPDATE = TableUpdate("servers", None, 5, (("a", b"row a", 4), ("b", b"row b", 5)))
 VALID_FRAME = Frame((VALID_UPDATE,), {"servers": (5, 0.5)}, None, (LoadRow("a", 1, 2, 0.5, 0.2),))
 # Encoded by hand: five fields, then a sixth that frames do not have.
-NESTED_TAIL = b"\x96\x90\x80\xc0\x90\xc2" + b"\x91" * DEEP + b"\xc0"
+NESTED_TAIL = b"\x96\x90\x80\xc0\x90\xc2" + b"\x91" * NESTING_DEPTH + b"\xc0"
 
 
 def framed(body, kind=b"\x00"):
@@ -93,7 +93,7 @@
     "a frame of 4 GiB": b"\xff\xff\xff\xff\x00",
     "a frame of an unknown kind": framed(encode_frame(VALID_FRAME)[5:], b"\x02"),
     "bytes that aren't packed": framed(b"\xc1\xc1\xc1"),
-    "nested lists": framed(b"\x91" * DEEP),
+    "nested lists": framed(b"\x91" * NESTING_DEPTH),
     "nested lists behind a good frame": framed(NESTED_TAIL),
     "a text that is no text": framed(b"\x92\x91\x93\xa1\xff\xc0\x05\x80"),
     "a version that is a text": packed([["servers", None, "5", []]], {}),
@@ -155,7 +155,7 @@
 @then("a question with nested lists behind its last field is none")
 def request_is_rejected(context):
     assert decode_request(b"\x92\xa1a\x80") == ChangesRequest("a", {})
-    assert decode_request(b"\x93\xa1a\x80" + b"\x91" * DEEP + b"\xc0") is None
+    assert decode_request(b"\x93\xa1a\x80" + b"\x91" * NESTING_DEPTH + b"\xc0") is None
 
 
 @then("what a process tells of loads and moments that it holds is always a frame")
@@ -165,7 +165,7 @@
         # Received from a peer that sent no times.
         shared_state.merge(Frame((VALID_UPDATE,), {}), trio.current_time())
         for running, share in ((-1, 0.5), (10**9, 0.5), (1, float("nan")), (1, -0.5), (2, 0.5)):
-            shared_state.loads.note(LoadRow(f"{running} {share}", running, 0, share, 0.0))
+            shared_state.loads.record(LoadRow(f"{running} {share}", running, 0, share, 0.0))
         return shared_state.next_frame(Subscriber(trio.current_time(), {}))
 
     frame = virtually(work)
@@ -188,7 +188,7 @@
                       (LoadRow("a", 1, 2, 0.5, late),))  # fmt: skip
         shared_state.merge(frame, trio.current_time() - 5.0)
         now = trio.current_time()
-        load = shared_state.loads.known("a")
+        load = shared_state.loads.get("a")
         return shared_state.latest_as_of <= now, noted.returned <= now, load.at <= now
 
     assert virtually(work) == (True, True, True)
@@ -216,7 +216,7 @@
         await trio.sleep(SETTLE_SECONDS)
         for each in world.live_processes:
             for data in malformed_digests():
-                world.medium.carry("a:9", each.address, data)
+                world.medium.deliver("a:9", each.address, data)
                 await trio.sleep(0.01)
         await trio.sleep(SETTLE_SECONDS)
         context.known = [each.live_names() for each in world.live_processes]
@@ -240,7 +240,9 @@
 
 def report_with(what):
     if what == "with nested lists beside":
-        return VALID_REPORT[:-1] + b', "note": ' + b"[" * DEEP + b"]" * DEEP + b"}"
+        return (
+            VALID_REPORT[:-1] + b', "note": ' + b"[" * NESTING_DEPTH + b"]" * NESTING_DEPTH + b"}"
+        )
     field, _, value = what.removeprefix("with ").partition(" = ")
     # The last field of a name takes effect.
     return VALID_REPORT[:-1] + f', "{field}": {value}}}'.encode()
@@ -250,7 +252,7 @@
     """Return the result of each query that a report answers."""
 
     async def answer(request, exchange):
-        await exchange.whole(200, (), report)
+        await exchange.respond(200, (), report)
 
     async with trio.open_nursery() as nursery:
         network = MemoryNetwork(nursery, CallerBounds)
@@ -262,12 +264,12 @@
             TrafficShare(trio.current_time), LoadBoard(trio.current_time),
             lambda: True, lambda: 0.0,
         )  # fmt: skip
-        await loads._ask(upstream)
+        await loads._query(upstream)
         found = (
             await control.order_count(upstream),
-            await control.stalled(upstream),
-            await control.load(upstream),
-            (await control.pulse(upstream, 0.1)).pulse,
+            await control.query_stalled(upstream),
+            await control.query_load(upstream),
+            (await control.probe(upstream, 0.1)).result,
         )
         nursery.cancel_scope.cancel()
     return found
@@ -276,10 +278,10 @@
 @then("a report {what} is none, and no question about it raises")
 def report_is_rejected(context, what):
     count, stalled, load, pulse = virtually(lambda: results_for(VALID_REPORT))
-    assert (count, stalled.pace, load.running, pulse) == (7, 1.5, 1, Pulse.ALIVE)
+    assert (count, stalled.pace, load.running, pulse) == (7, 1.5, 1, ProbeResult.ALIVE)
     report = report_with(what.replace("{400 digits}", "9" * 400))
     # An upstream that answers at all is alive.
-    assert virtually(lambda: results_for(report)) == (None, None, None, Pulse.ALIVE)
+    assert virtually(lambda: results_for(report)) == (None, None, None, ProbeResult.ALIVE)
 
 
 MODEL = ModelSpec("m", 8, 100.0)
@@ -298,7 +300,11 @@
 MALFORMED_PLANS = {
     "nothing": b"",
     "bytes that are no text": b"\xff\x00",
-    "nested lists": plan_of()[:-1] + b', "note": ' + b"[" * DEEP + b"]" * DEEP + b"}",
+    "nested lists": plan_of()[:-1]
+    + b', "note": '
+    + b"[" * NESTING_DEPTH
+    + b"]" * NESTING_DEPTH
+    + b"}",
     "a number that is a text": plan_of(number="4"),
     "a number that is negative": plan_of(number=-4),
     "a number without bound": plan_of()[:-1] + b', "number": ' + b"9" * 40 + b"}",
@@ -318,7 +324,7 @@
         key = f"{PLAN_TABLE}/x"
         await table.transact([Write(key, value)])
         row = table.rows[key]
-        noted = book.note(row)
+        noted = book.merge(row)
         won = await book.claim("x", "m", (Assignment("a", 0, 4, "r"),))
         return noted, won, row
 
@@ -397,10 +403,10 @@
     def check(data):
         own = Member("a", 1, "127.0.0.1:69", "x")
         roster = Roster(own, lambda: 5.0)
-        roster.take([sender])
+        roster.merge([sender])
         found = decode_digest(data)
         if found is not None:
-            roster.take((found.sender, *found.members))
+            roster.merge((found.sender, *found.members))
         assert {each.name for each in roster.live()} >= {"a", "b"}
         followers(roster.live(), "x")
         encode_digest(Digest(roster.own, roster.select_for_digest("x", 18)))
@@ -415,10 +421,10 @@
         upstreams.put(Upstream("a", "llm", "127.0.0.1:1", "x", first=0, end=4))
         book = PlanBook(MemoryTable(), "n/1")
         healer = Healer("llm", upstreams, book, None, Random(1), lambda *_, **__: None)
-        record = book.note(Row(f"{PLAN_TABLE}/x", 3, value))
-        assert book.known("x") is None or 0 < book.known("x").number < 2**63
+        record = book.merge(Row(f"{PLAN_TABLE}/x", 3, value))
+        assert book.last_plan("x") is None or 0 < book.last_plan("x").number < 2**63
         if record is not None:
-            healer.hear("x", MODEL, record)
+            healer.on_plan("x", MODEL, record)
 
     @reproducible(count)
     @hypothesis_given(mutated(plan_of()))
--- a/features/steps/gateway_fault_steps.py
+++ b/features/steps/gateway_fault_steps.py
@@ -14,7 +14,7 @@
             runner.die()
         else:
             runner.dead = True
-            site.network.darken(runner.address)
+            site.network.silence(runner.address)
 
     ask_while(context, count, fail)
 
@@ -27,7 +27,7 @@
         await trio.sleep(2 * EVENT_SECONDS)
         if fault == "goes dark":
             runner.dead = True
-            site.network.darken(runner.address)
+            site.network.silence(runner.address)
         else:
             site.paused_until = trio.current_time() + float(fault.split()[2])
 
@@ -67,7 +67,7 @@
 @when("the second upstream blocks streams after {count:d} events but answers probes")
 def holds_up(context, count):
     async def hold(site):
-        site.runners["x2"].holds_up = True
+        site.runners["x2"].blocks_streams = True
 
     ask_while(context, count, hold, rest=1.0)
 
@@ -114,7 +114,7 @@
             nursery.start_soon(fall_silent)
             context.got = await site.ask()
         await trio.sleep(0.5)
-        context.suspect = [each for each in "x1 x2 y1 y2".split() if site.is_suspect(each)]
+        context.suspect = [each for each in "x1 x2 y1 y2".split() if site.is_suspected(each)]
 
     context.site.play(story)
 
--- a/features/steps/http1_steps.py
+++ b/features/steps/http1_steps.py
@@ -8,12 +8,12 @@
 from connection_world import BOUNDS, read_until_end, virtually
 from returns.result import Failure, Success
 
-from deckcourse.decision_log import LINES_AT_ONCE, DecisionLog
+from deckcourse.decision_log import MAX_BURST_LINES, DecisionLog
 from deckcourse.gateway.desired import CallerBounds
 from deckcourse.http1.client import ConnectionPool, UpstreamConnection
 from deckcourse.http1.memory import MemoryNetwork
 from deckcourse.http1.message import ConnectionLostError
-from deckcourse.http1.server import RestingConnections, serve_connection
+from deckcourse.http1.server import IdleConnections, serve_connection
 from deckcourse.metrics import RegistryCounters
 from deckcourse.platform.store import Store
 from deckcourse.table import Committed, Conflict, TableFailure, Write
@@ -28,7 +28,7 @@
 
 
 async def echo(request, exchange):
-    await exchange.whole(200, (), request.target + b" " + request.body)
+    await exchange.respond(200, (), request.target + b" " + request.body)
 
 
 @when("a client writes {text}")
@@ -56,7 +56,7 @@
 def idle_connection_closes(context, seconds):
     async def closed_after(drain):
         client_stream, server_stream = trio.testing.memory_stream_pair()
-        idle_connections = RestingConnections()
+        idle_connections = IdleConnections()
         started = trio.current_time()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(
@@ -132,7 +132,7 @@
         connection = UpstreamConnection("u:1", context.transport)
         try:
             reply = await connection.call(b"GET", b"/", ((b"host", b"h"),), b"")
-            result = f"{reply.status} {(await reply.whole_body()).decode()}".strip()
+            result = f"{reply.status} {(await reply.read_body()).decode()}".strip()
         except ConnectionLostError as lost:
             connection.abort()
             return str(lost.kind)
@@ -157,9 +157,9 @@
         for number in range(count):
             log.log("decided", request=str(number))
         lines = read_lines(reader)
-        assert most == LINES_AT_ONCE and len(lines) <= most, len(lines)
+        assert most == MAX_BURST_LINES and len(lines) <= most, len(lines)
         left_out = count - len(lines)
-        assert log.left_out == {"decided": left_out}
+        assert log.dropped_lines == {"decided": left_out}
         now[0] = 1.0
         log.log("later")
         summary, later = read_lines(reader)
@@ -191,7 +191,7 @@
         for _ in range(400):
             now[0] += 1.0
             log.log("decided", text="x" * 1000)
-        assert log.left_out["decided"] > 100
+        assert log.dropped_lines["decided"] > 100
         first = len(read_lines_partly(reader))
         log.log("later")
         assert first > 10
@@ -231,7 +231,7 @@
     async def answer(request, exchange):
         if status == 0:
             await trio.sleep_forever()
-        await exchange.whole(status, (), body)
+        await exchange.respond(status, (), body)
 
     async def work():
         async with trio.open_nursery() as nursery:
--- a/features/steps/rate_sharing_steps.py
+++ b/features/steps/rate_sharing_steps.py
@@ -16,7 +16,7 @@
 from deckcourse.peers.rate_limit import RateLimit
 from deckcourse.peers.token_messages import TOKEN_PREFIX, TokenRequest, encode_message
 from deckcourse.platform.names import RATE_LIMIT
-from deckcourse.platform.notices import notice_of
+from deckcourse.platform.notices import parse_notice
 from deckcourse.table import TableFailure
 
 WINDOW_SECONDS = 4.0
@@ -67,10 +67,10 @@
 
 async def issuer_cut(site):
     issuer = site.issuers()[0]
-    usual = site.medium._lost
-    site.medium._lost = lambda a, b: issuer.address in (a, b) or usual(a, b)
+    usual = site.medium._is_lost
+    site.medium._is_lost = lambda a, b: issuer.address in (a, b) or usual(a, b)
     await trio.sleep(FAULT_SECONDS)
-    site.medium._lost = usual
+    site.medium._is_lost = usual
 
 
 async def issuer_without_store(site):
@@ -108,7 +108,7 @@
 async def issuer_stops(site):
     issuer = site.issuers()[0]
     issuer.stopping = True
-    await issuer.gossip.tell_leaving()
+    await issuer.gossip.announce_leaving()
     await trio.sleep(FAULT_SECONDS)
 
 
@@ -240,7 +240,7 @@
     status = 421 if text.endswith("in a 421") else 200
     values = [each.encode() for each in text.removesuffix(" in a 421").split(" / ")]
     values = [b""] if text == "empty" else values
-    notice = notice_of(UpstreamReply(status, tuple((RATE_LIMIT, each) for each in values), None))
+    notice = parse_notice(UpstreamReply(status, tuple((RATE_LIMIT, each) for each in values), None))
     assert notice.rate_limit == (None if rate == "nothing" else float(rate)), notice
     assert notice.malformed == (malformed == "with"), notice
 
@@ -307,7 +307,7 @@
         target = site.processes[0].address
         request = encode_message(TokenRequest(1, "nobody:1", RateLimit(UPSTREAM, 1, 2.3)))
         for data in (b"", b"\xff" * 50, request[1:-3], b"\x81" * 3000, request[1:]):
-            site.medium.carry("x", target, TOKEN_PREFIX + data)
+            site.medium.deliver("x", target, TOKEN_PREFIX + data)
         await trio.sleep(0.1)
         await callers_come(context, 20)
         context.counts = site.processes[0].counters.counts
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -16,7 +16,7 @@
 from deckcourse.http1.message import header_value
 from deckcourse.http1.server import IncomingRequest
 from deckcourse.layers.hosts import Assignment
-from deckcourse.layers.paths import LayerPath, PathPart
+from deckcourse.layers.paths import LayerPath, PathStage
 from deckcourse.peers.replica import TableReplica, TableUpdate
 from deckcourse.platform.dialect import PlatformDialect
 from deckcourse.platform.rows import PlatformRows
@@ -45,11 +45,11 @@
         self.seen.append(header_value(request.headers, b"x-expected-instance").decode())
         if request.target == b"/v1/report":
             said = {**self.start, "sequence": 3, "running": 1, "queued": 0}
-            await exchange.whole(421 if self.is_another else 200, (), json.dumps(said).encode())
+            await exchange.respond(421 if self.is_another else 200, (), json.dumps(said).encode())
         elif self.is_another:
-            await exchange.whole(421, (), json.dumps(self.start).encode())
+            await exchange.respond(421, (), json.dumps(self.start).encode())
         else:
-            await exchange.whole(self.status, (), json.dumps(self.start).encode())
+            await exchange.respond(self.status, (), json.dumps(self.start).encode())
 
 
 def known(site):
@@ -77,7 +77,7 @@
     return {**row, **start}
 
 
-MOVED = LayerPath((PathPart("p", "p:1", 0, LAYERS),), "x", 0, 1.0)
+MOVED = LayerPath((PathStage("p", "p:1", 0, LAYERS),), "x", 0, 1.0)
 
 
 async def exchange_with(site, what, upstream):
@@ -86,7 +86,7 @@
         count = await site.control.order_count(upstream)
         return "unanswered" if count is None else f"{count} orders"
     if what == "pulse":
-        return str((await site.control.pulse(upstream, 0.1)).pulse)
+        return str((await site.control.probe(upstream, 0.1)).result)
     if what == "place":
         return str(await site.control.place(upstream, Assignment("p", 0, 4, ""), 3))
     result, _ = await site.control.move(upstream, "r1", MOVED)
@@ -102,7 +102,7 @@
         site.store.put("servers", "p", row_of("p", start_of(word)))
     elif what == "all rows":
         # A source without a change history sends all of its rows.
-        site.store.tells_all_rows = True
+        site.store.has_no_change_feed = True
         site.store.put("servers", "p", row_of("p", start_of(word)))
     else:
         runner.start = start_of(word)
@@ -113,7 +113,7 @@
         call = what.rpartition(" ")[2].replace("order", "place")
         await exchange_with(site, call, upstream)
     await trio.sleep(0.3)
-    site.store.tells_all_rows = False
+    site.store.has_no_change_feed = False
 
 
 @then("after these reports about one id this start time is known")
@@ -153,14 +153,14 @@
             *5 * (do_nothing,),
         )
         intake.operator_row("config", json.dumps(default_config()).encode(), 1)
-        replica.take(TableUpdate("servers", None, 1))
+        replica.merge(TableUpdate("servers", None, 1))
         for told in row["told"].split(", "):
             what, _, word = told.rpartition(" ")
             # A peer that is behind sends the state of a superseded version.
             version = 2 if what.endswith("older") else replica.version + 10
             after = None if what.startswith("all") else 1
             value = json.dumps(row_of("p", start_of(word))).encode()
-            if replica.take(TableUpdate("servers", after, version, (("p", value, version),))):
+            if replica.merge(TableUpdate("servers", after, version, (("p", value, version),))):
                 intake.upstream_rows(replica.rows)
         starts = [each.start for each in table.of_service(SERVICE)]
         if starts != [int(row["known"])]:
@@ -290,7 +290,7 @@
         old = listed(site, "x2")
         site.runners["x2"].restart(2000, tells=told == "its row")
         if told == "a report":
-            await site.control.load(old)
+            await site.control.query_load(old)
         told_at = trio.current_time()
         with trio.move_on_after(5.0):
             while held_by(site.runners.values()) != set(range(LAYERS)):
@@ -314,11 +314,11 @@
             # The crash happens between the query for the order count and the order.
             runner = site.runners["x3"] = site.runners["x3"].restart(2000, tells=False)
             runner.orders, runner.on_order = 1, refuse
-            await exchange.whole(202, (), json.dumps(runner.told_start).encode())
+            await exchange.respond(202, (), json.dumps(runner.start_fields).encode())
 
         async def refuse(order, exchange):
             times.order = times.order or trio.current_time()
-            await exchange.whole(409, (), json.dumps({"born": 2000}).encode())
+            await exchange.respond(409, (), json.dumps({"born": 2000}).encode())
 
         # The order in flight gets a reply, as if the restart had been quick enough.
         site.network.kill = lambda address, kept=site.network.kill: (
@@ -353,7 +353,7 @@
         site.store.away = True
         await trio.sleep(0.2)
         runner = site.runners["x2"].restart(2000, tells=False)
-        await site.control.load(old)
+        await site.control.query_load(old)
         refused = site.counters.counts.get("retry.refused.421", 0)
         context.firsts = []
         for number in range(6):
--- a/features/steps/stall_steps.py
+++ b/features/steps/stall_steps.py
@@ -5,12 +5,12 @@
 from trio.testing import MockClock
 
 from deckcourse.gateway.active_stream import ActiveStream
-from deckcourse.gateway.dialect import Pulse, PulseReading, StallReport
+from deckcourse.gateway.dialect import ProbeReply, ProbeResult, StallReport
 from deckcourse.gateway.stalls import StallMonitor
 from deckcourse.gateway.upstream import Upstream
 from deckcourse.gateway.upstreams import UpstreamTable
 from deckcourse.layers.model import ModelSpec
-from deckcourse.layers.paths import LayerPath, PathPart
+from deckcourse.layers.paths import LayerPath, PathStage
 
 EVENT_SECONDS = 0.02
 
@@ -21,16 +21,18 @@
     def __init__(self):
         self.probed = set()
 
-    async def stalled(self, upstream):
+    async def query_stalled(self, upstream):
         return StallReport({}, 1.0)
 
-    async def pulse(self, upstream, seconds):
+    async def probe(self, upstream, seconds):
         self.probed.add(upstream.instance)
-        return PulseReading(Pulse.ALIVE, 1.0)
+        return ProbeReply(ProbeResult.ALIVE, 1.0)
 
 
 def stream_over(names, number):
-    parts = tuple(PathPart(name, f"{name}:1", index, index + 1) for index, name in enumerate(names))
+    parts = tuple(
+        PathStage(name, f"{name}:1", index, index + 1) for index, name in enumerate(names)
+    )
     path = LayerPath(parts, "x", 1.0)
     return ActiveStream(
         f"r{number}", "s", ModelSpec("m", len(names), 1.0), path, 0.0, has_events=True
--- a/features/steps/suspended_steps.py
+++ b/features/steps/suspended_steps.py
@@ -36,7 +36,7 @@
         clock = importlib.import_module("deckcourse.host_clock")
     except ModuleNotFoundError:
         return False
-    return clock.CLOCK == time.CLOCK_BOOTTIME
+    return clock.CLOCK_ID == time.CLOCK_BOOTTIME
 
 
 def suspend(clock, seconds=SUSPENDED_SECONDS):
@@ -120,7 +120,7 @@
 
 async def runners_backing_off(site):
     runner = site.runners["p1"]
-    runner.behaviour, runner.asks = "full", ("3",)
+    runner.behaviour, runner.requested_backoffs = "full", ("3",)
     await site.ask("again", name="r1")
     runner.behaviour = ""
     suspend(site.clock)
@@ -138,7 +138,7 @@
         return await original_dial(address)
 
     site.dial = dial
-    site.pool.forget("p1:1")
+    site.pool.close_idle("p1:1")
     return await site.ask("again", name="r2", headers=[("x-deadline-ms", "1000")])
 
 
@@ -146,7 +146,7 @@
     site.node.gateway.context.upstreams.suspect("p1", 4.0)
     suspend(site.clock)
     await trio.sleep(STORE_CONTACT_SECONDS)
-    if site.is_suspect("p1"):
+    if site.is_suspected("p1"):
         return Got()
     return await site.ask("again", name="r2")
 
@@ -168,7 +168,7 @@
 
 
 def sent(context):
-    return [each for each in context.site.arrivals if each.request == "r2"]
+    return [each for each in context.site.received_requests if each.request == "r2"]
 
 
 @then("a request that needs a key isn't sent")
@@ -188,10 +188,10 @@
     async def story(world):
         await trio.sleep(SETTLE_SECONDS)
         receiver = next(each for each in world.processes if not each.peers.feed.follows)
-        before = receiver.peers.feed.seconds_behind
+        before = receiver.peers.feed.staleness_seconds
         world.store.away = True
         suspend(world.clock)
-        context.staleness = receiver.peers.feed.seconds_behind - before
+        context.staleness = receiver.peers.feed.staleness_seconds - before
 
     context.world.play(story)
 
--- a/features/token_world.py
+++ b/features/token_world.py
@@ -85,7 +85,7 @@
             return self.retry_at()
         await trio.sleep(world.random.uniform(0.0, MAX_CONNECT_SECONDS))
         if world.drops_token(self):
-            await self.gate.give_back(token)
+            await self.gate.return_token(token)
         elif self.gate.may_send(token):
             sent_at = trio.current_time()
             world.sent.append((sent_at, self.name))
@@ -94,7 +94,10 @@
         return None
 
     def retry_at(self):
-        return self.upstreams.first_end([UPSTREAM]) or trio.current_time() + DEFAULT_PAUSE_SECONDS
+        return (
+            self.upstreams.first_accepts_at([UPSTREAM])
+            or trio.current_time() + DEFAULT_PAUSE_SECONDS
+        )
 
 
 class TokenWorld:
--- a/soak/runner.py
+++ b/soak/runner.py
@@ -134,9 +134,9 @@
         headers = ((b"host", b"x"), (PROBE_HEADER, b"1"), length)
         try:
             with trio.move_on_after(timeout_seconds):
-                async with self._pool.lent(address) as connection:
+                async with self._pool.borrow(address) as connection:
                     reply = await connection.call(method, target, headers, body)
-                    return reply.status, await reply.whole_body()
+                    return reply.status, await reply.read_body()
         except ConnectionLostError:
             return None
         return None
@@ -156,7 +156,7 @@
                 self._notices.record_control_message()
                 await self._answer_faults.delay_report()
             headers = (*JSON_HEADERS, *self._notices.control_headers)
-            await exchange.whole(200, headers, json.dumps(self._report()).encode())
+            await exchange.respond(200, headers, json.dumps(self._report()).encode())
         elif path == "/v1/order":
             self._notices.record_control_message()
             await self._handle_order(json.loads(request.body), exchange)
@@ -195,10 +195,10 @@
             stream = self._streams.get(order["id"])
             if stream is not None:
                 stream.path = parse_path(order["path"])
-            await exchange.whole(404 if stream is None else 200, headers, body)
+            await exchange.respond(404 if stream is None else 200, headers, body)
             return
         if self._is_loading or order["expectedRev"] != self._order_count:
-            await exchange.whole(409, headers, body)
+            await exchange.respond(409, headers, body)
             return
         first, end = order["rangeStart"], order["targetVersion"]
         held = set(range(self._first_layer, self._end_layer)) if order["how"] == "wait" else set()
@@ -208,7 +208,7 @@
         self._is_loading = True
         # Runs outside the handler, which is cancelled when the sender closes the connection.
         self._nursery.start_soon(self._load, first, end)
-        await exchange.whole(202, headers, body)
+        await exchange.respond(202, headers, body)
 
     async def _load(self, first: int, end: int) -> None:
         """Complete an accepted order: hold its layers after the load time and write the row."""
@@ -228,12 +228,12 @@
         request_id = headers.get("x-request-id", "")
         id_headers = ((b"x-request-id", request_id.encode()),)
         if headers.get("x-expected-instance", self._spec.instance) != self._spec.instance:
-            await exchange.whole(421, (*id_headers, (b"x-not-executed", b"1")), b"")
+            await exchange.respond(421, (*id_headers, (b"x-not-executed", b"1")), b"")
             return
         self._notices.record_arrival(request_id)
         refusal = self._notices.refusal_headers(request_id)
         if refusal is not None:
-            await exchange.whole(503, (*id_headers, *refusal), b"")
+            await exchange.respond(503, (*id_headers, *refusal), b"")
             return
         path = parse_path(headers.get("path", ""))
         if not path:
@@ -246,7 +246,7 @@
                 await self._run_request(request, exchange, connection, fault, stream)
                 return
             extra = ((b"x-not-executed", b"1"), (b"at-server", path_refusal.address.encode()))
-            await exchange.whole(path_refusal.status, (*id_headers, *extra), b"")
+            await exchange.respond(path_refusal.status, (*id_headers, *extra), b"")
         finally:
             # A later run of the same request may have replaced the entry.
             if self._streams.get(request_id) is stream:
@@ -390,7 +390,7 @@
             head = raw_head((*self._headers, length))
             await self._connection.send_all(head + body[: len(body) // 2])
         else:
-            await self._exchange.whole(200, self._headers, body)
+            await self._exchange.respond(200, self._headers, body)
 
     async def start(self) -> None:
         """Send the head of a stream."""
--- a/tools/start_cost.py
+++ b/tools/start_cost.py
@@ -104,9 +104,9 @@
         for _ in range(4):
             sample = Random(beat).sample(members, min(18, len(members)))
             sampled_members = tuple(
-                Member(each.name, 1, each.address, each.domain, beat=beat) for each in sample
+                Member(each.name, 1, each.address, each.domain, heartbeat=beat) for each in sample
             )
-            medium.carry(
+            medium.deliver(
                 "other:1",
                 own_address,
                 encode_digest(Digest(sampled_members[0], sampled_members[1:], False)),
