--- a/deckcourse/gateway/calls.py
+++ b/deckcourse/gateway/calls.py
@@ -70,7 +70,7 @@
     until = context.crashes.quarantined_until(admitted)
     if until is None:
         return None
-    message = "upstreams crashed while executing this request"
+    message = "upstreams ended under this request"
     if has_run:
         return Unknown(UnknownReason.ENDS_UPSTREAMS, message)
     return NotRun(NotRunReason.ENDS_UPSTREAMS, message, until - trio.current_time())
@@ -92,12 +92,8 @@
     if outcome is not None:
         return outcome
     if may_have_run():
-        return Unknown(
-            UnknownReason.DEADLINE_PASSED, "the deadline passed before the response was complete"
-        )
-    return NotRun(
-        NotRunReason.DEADLINE, "the deadline passed before an upstream accepted the request"
-    )
+        return Unknown(UnknownReason.DEADLINE_PASSED, "the time for the answer is over")
+    return NotRun(NotRunReason.DEADLINE, "the time was over before an upstream took it")
 
 
 def schedule_retry_after(context: GatewayContext, admitted: Admitted, min_seconds: float) -> float:
@@ -148,7 +144,7 @@
         reply = await connection.next_reply()
         facts = context.dialect.facts(reply)
     if facts.request_id != caller.request_id:
-        raise ConnectionLostError(FailureKind.MALFORMED, "the response belongs to another request")
+        raise ConnectionLostError(FailureKind.MALFORMED, "the answer is another request's")
     context.notices.apply(dispatch.instance, facts.notice, sent_at)
     return reply, facts
 
@@ -164,7 +160,7 @@
     """
     framed = any(name in _FRAMING for name, _ in reply.headers)
     if (not framed or reply.has_trailing_bytes) and _holds_status_line(body):
-        raise ConnectionLostError(FailureKind.MALFORMED, "the body contains another response")
+        raise ConnectionLostError(FailureKind.MALFORMED, "another answer stands in the body")
 
 
 def _holds_status_line(body: bytes) -> bool:
--- a/deckcourse/gateway/events.py
+++ b/deckcourse/gateway/events.py
@@ -76,7 +76,7 @@
             each for each in self._parse_events(data) if self._last is None or each.id > self._last
         ]
         if len(self._buffer) + len(self._comments) > MAX_EVENT_BYTES:
-            self._fault = self._fault or "an incomplete event exceeds the size limit"
+            self._fault = self._fault or "an event does not end"
         return events
 
     def _parse_events(self, data: bytes) -> Iterator[Event]:
@@ -100,7 +100,7 @@
             return None
         event_id = _parse_id(ids[0]) if len(ids) == 1 and _LINES.fullmatch(block) else None
         if event_id is None:
-            self._fault = "malformed event"
+            self._fault = "bytes that are no event"
             return None
         if not self._follows(event_id):
             previous = self._last if self._previous is None else self._previous
--- a/deckcourse/gateway/gateway.py
+++ b/deckcourse/gateway/gateway.py
@@ -87,7 +87,7 @@
             )
         desired = self._desired()
         if desired is None:
-            return _not_ready("this entry has no configuration yet")
+            return _not_ready("this entry does not know its configuration yet")
         route = desired.route_of(caller.host, caller.path)
         needs_key = route is not None and desired.has_accounts and not route.public
         # Routes and keys of an outdated configuration may no longer be valid.
--- a/deckcourse/gateway/lookup.py
+++ b/deckcourse/gateway/lookup.py
@@ -143,13 +143,13 @@
         if self._failed_response is not None:
             return await self._deliver(self._failed_response)
         if self._executions:
-            message = last_failure.message if last_failure is not None else "the response was lost"
+            message = last_failure.message if last_failure is not None else "the answer was lost"
             return Unknown(UnknownReason.UPSTREAM_LOST, message)
         accepts_at = self._context.upstreams.accepts_at(self._admitted.service.name)
         if accepts_at is not None:
             min_seconds = max(REFUSED_RETRY_AFTER_SECONDS, accepts_at - trio.current_time())
             retry_after = schedule_retry_after(self._context, self._admitted, min_seconds)
-            message = f"no upstream accepts requests for {min_seconds:.2f} s"
+            message = f"no upstream takes a request for {min_seconds:.2f} s"
             return NotRun(NotRunReason.UPSTREAM_BACKOFF, message, retry_after)
         if isinstance(last_failure, _Refused):
             return NotRun(
--- a/deckcourse/gateway/stream.py
+++ b/deckcourse/gateway/stream.py
@@ -170,7 +170,7 @@
     ) -> Outcome | None:
         """Return the refusal of a request that was not executed yet, None if it may be sent."""
         if self._choice.is_overloaded(path):
-            message = "every path has more requests queued than it can serve in time"
+            message = "every path has more waiting than it can serve in time"
             return NotRun(
                 NotRunReason.OVERLOADED, message, self._retry_after(OVERLOAD_RETRY_AFTER_SECONDS)
             )
@@ -201,7 +201,7 @@
             return self._give_up(last_failure, NotRunReason.NO_ROUTE, NO_PATH_RETRY_AFTER_SECONDS)
         # Refused immediately: waiting here would not serve the caller sooner.
         seconds = max(0.0, accepts_at - trio.current_time())
-        message = f"the first upstream of every path accepts no requests for {seconds:.2f} s"
+        message = f"every path begins at an upstream that takes no request for {seconds:.2f} s"
         return NotRun(NotRunReason.UPSTREAM_BACKOFF, message, self._retry_after(seconds))
 
     def _retry_after(self, seconds: float) -> float:
@@ -389,7 +389,7 @@
                 self._context.count("event.malformed")
                 raise ConnectionLostError(FailureKind.MALFORMED, reader.fault)
         if reader.incomplete:
-            raise ConnectionLostError(FailureKind.LOST, "the stream ended within an event")
+            raise ConnectionLostError(FailureKind.LOST, "the stream ended inside an event")
         if self._last_event is None:
             raise ConnectionLostError(FailureKind.LOST, "the stream ended before its first event")
         await self._finish_response(reply, reader.trailing)
--- a/deckcourse/http1/client.py
+++ b/deckcourse/http1/client.py
@@ -75,9 +75,7 @@
         while (data := await self.next_data()) is not None:
             body += data
             if len(body) > MAX_BODY_BYTES:
-                raise ConnectionLostError(
-                    FailureKind.MALFORMED, "the answer is too large to buffer"
-                )
+                raise ConnectionLostError(FailureKind.MALFORMED, "the answer is too large to keep")
         return bytes(body)
 
 
@@ -159,15 +157,13 @@
         while True:
             event = await self._next_event()
             if _is_merged(event):
-                raise ConnectionLostError(
-                    FailureKind.MALFORMED, "the response head contains another one"
-                )
+                raise ConnectionLostError(FailureKind.MALFORMED, "a head inside another one")
             if isinstance(event, h11.Response):
                 headers = tuple((bytes(name), bytes(value)) for name, value in event.headers)
                 self._read_keep_alive(headers)
                 return UpstreamReply(event.status_code, headers, self)
             if not isinstance(event, h11.InformationalResponse):
-                raise ConnectionLostError(FailureKind.LOST, "connection closed without an answer")
+                raise ConnectionLostError(FailureKind.LOST, "closed without an answer")
 
     def _read_keep_alive(self, headers: Headers) -> None:
         if b"close" in header_value(headers, b"connection").lower():
@@ -184,7 +180,7 @@
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return None
-        raise ConnectionLostError(FailureKind.LOST, "the answer was cut off")
+        raise ConnectionLostError(FailureKind.LOST, "the answer broke off")
 
     async def _next_event(self) -> h11.Event:
         try:
--- a/deckcourse/http1/transport.py
+++ b/deckcourse/http1/transport.py
@@ -61,7 +61,9 @@
             await socket.connect((host, int(port)))
     except trio.TooSlowError as error:
         socket.close()
-        raise ConnectionLostError(FailureKind.UNSENT, f"connect timed out: {address}") from error
+        raise ConnectionLostError(
+            FailureKind.UNSENT, f"no connection in time: {address}"
+        ) from error
     except (OSError, OverflowError, ValueError) as error:
         socket.close()
         raise ConnectionLostError(FailureKind.UNSENT, f"{address}: {error}") from error
